--- a/deploy/tests/test_adapter.py
+++ b/deploy/tests/test_adapter.py
@@ -22,7 +22,7 @@
 from verbenamill_platform.records import pack, unpack
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.rollouts import Settled, Verdict
-from verbenamill_sidecar.protocol import Left, NotUnderstood
+from verbenamill_sidecar.protocol import LeaveAnnouncement, InvalidAnnouncement
 
 ROOT = Path(__file__).parents[2]
 NAMES = re.compile(
@@ -104,10 +104,12 @@
     assert beat.state is UpstreamState.DRAINING
     assert beat.cold == 0.5
     left = b'/v1/rpc?call=instances.deregister&of=i-1'
-    assert read_announcement(b'POST', left, b'') == Left(instance='i-1', born=0)
+    assert read_announcement(b'POST', left, b'') == LeaveAnnouncement(
+        instance='i-1', born=0
+    )
     for bad in (b'', b'{', b'{"address":"x"}', body.replace(b'3}', b'0}')):
         found = read_announcement(b'POST', target, bad)
-        assert isinstance(found, NotUnderstood)
+        assert isinstance(found, InvalidAnnouncement)
         assert found.reason
 
 
--- a/deploy/tests/test_poisonous_records.py
+++ b/deploy/tests/test_poisonous_records.py
@@ -16,7 +16,7 @@
     read_settled,
 )
 from verbenamill_policy.routes import RouteTable, SplitCounter
-from verbenamill_sidecar.datagrams import Message, read_message
+from verbenamill_sidecar.datagrams import Message, decode_message
 
 COLUMNS = (
     'name',
@@ -129,7 +129,7 @@
     def handle_any(gossip, tag, fields):
         data = msgspec.msgpack.encode([tag, *fields])
         try:
-            message = read_message(data)
+            message = decode_message(data)
         except msgspec.MsgspecError:
             return
         gossip._handle(message, Address('127.0.0.1', 9))
--- a/deploy/tests/test_store_calls.py
+++ b/deploy/tests/test_store_calls.py
@@ -110,7 +110,7 @@
     async def scene(site):
         await open_site(site)
         reader = next(vm for vm in site.vms if vm.daemon._tree.is_reader)
-        reader.daemon._follower._store.follow = _never
+        reader.daemon._follower._store.read_from = _never
         site.store.operate('config', kit.document(2))
         with trio.fail_after(2):
             await site.in_force(2)
--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -12,7 +12,7 @@
 from verbenamill_sidecar.call import Fate, Outcome, not_run, unknown
 from verbenamill_sidecar.passing_on import pass_on
 from verbenamill_sidecar.peers import LOST_AFTER
-from verbenamill_sidecar.watching import PROBE_PERIOD
+from verbenamill_sidecar.liveness import PROBE_PERIOD
 
 
 def mute(vm):
--- a/libs/cli/src/verbenamill_cli/fleet.py
+++ b/libs/cli/src/verbenamill_cli/fleet.py
@@ -15,9 +15,9 @@
 from verbenamill_policy.limits import NamedLimit
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.rollouts import Order, Settled
-from verbenamill_sidecar.fetching import fetch_knowledge
-from verbenamill_sidecar.knowledge import Knowledge
-from verbenamill_sidecar.protocol import Published, Store, StoreFault
+from verbenamill_sidecar.snapshot_client import fetch_snapshot
+from verbenamill_sidecar.desired_state import StateSnapshot
+from verbenamill_sidecar.protocol import PublishedRecords, Store, StoreFault
 
 #: Time for one daemon to answer, and for a connection to it, in seconds.
 ANSWER_TIMEOUT = 2.0
@@ -49,8 +49,8 @@
 
 async def find_fleet(store: Store) -> Result[Report, CliError]:
     """Ask the store and every daemon."""
-    published = await store.published()
-    remembered = await store.remembered()
+    published = await store.read_newest()
+    remembered = await store.read_saved_state()
     match published, remembered:
         case Success(told), Success(kept):
             seen = await _ask_all(kept.members)
@@ -62,8 +62,8 @@
 
 async def find_moves(store: Store) -> Result[Report, CliError]:
     """Ask the store for the newest order of each service, and its verdict."""
-    published = await store.published()
-    settlements = await store.settlements()
+    published = await store.read_newest()
+    settlements = await store.read_verdicts()
     match published, settlements:
         case Success(told), Success(known):
             return Success(_report_moves(told.orders, known.settled))
@@ -87,7 +87,7 @@
     return sorted(found, key=lambda seen: seen.record.vm)
 
 
-async def _ask(record: MemberRecord) -> Knowledge | None:
+async def _ask(record: MemberRecord) -> StateSnapshot | None:
     pool = Pool(
         parse_address(record.calls),
         limit=1,
@@ -95,18 +95,18 @@
         connect_timeout=_CONNECT_TIMEOUT,
     )
     with trio.move_on_after(ANSWER_TIMEOUT):
-        return await fetch_knowledge(pool)
+        return await fetch_snapshot(pool)
     return None
 
 
-def _version_of(known: Knowledge | None) -> int | None:
+def _version_of(known: StateSnapshot | None) -> int | None:
     if known is None:
         return None
     configuration = known.configuration
     return -1 if configuration is None else configuration.version
 
 
-def _report_fleet(told: Published, fleet: list[Seen]) -> Report:
+def _report_fleet(told: PublishedRecords, fleet: list[Seen]) -> Report:
     configuration = told.configuration
     newest = -1 if configuration is None else configuration.version
     late = [seen for seen in fleet if _judge(seen, newest) != 'in step']
--- a/libs/cli/src/verbenamill_cli/quarantine.py
+++ b/libs/cli/src/verbenamill_cli/quarantine.py
@@ -20,7 +20,7 @@
     now: datetime,
 ) -> Result[Report, CliError]:
     """Ask the store which requests are blocked."""
-    match await store.remembered():
+    match await store.read_saved_state():
         case Success(remembered):
             blocked = [one for one in remembered.suspects if one.is_blocked]
             return Success(_report(blocked, now))
@@ -39,7 +39,7 @@
 
     :param fingerprint: in hexadecimal digits.
     """
-    match await store.remembered():
+    match await store.read_saved_state():
         case Success(remembered):
             found = [
                 one
--- a/libs/cli/tests/test_fleet_commands.py
+++ b/libs/cli/tests/test_fleet_commands.py
@@ -7,7 +7,11 @@
 from verbenamill_cli.environment import Environment
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.main import app
-from verbenamill_sidecar.protocol import Published, Remembered, Settlements
+from verbenamill_sidecar.protocol import (
+    PublishedRecords,
+    SavedState,
+    ReportedVerdicts,
+)
 
 
 class EmptyStore:
@@ -16,14 +20,14 @@
     calls = 0
     closed = False
 
-    async def published(self):
-        return Success(Published(next=0))
+    async def read_newest(self):
+        return Success(PublishedRecords(next_position=0))
 
-    async def remembered(self):
-        return Success(Remembered())
+    async def read_saved_state(self):
+        return Success(SavedState())
 
-    async def settlements(self):
-        return Success(Settlements(end=0, settled={}))
+    async def read_verdicts(self):
+        return Success(ReportedVerdicts(end=0, settled={}))
 
     async def close(self):
         self.closed = True
--- a/libs/sidecar/src/verbenamill_sidecar/announcing.py
+++ b/libs/sidecar/src/verbenamill_sidecar/announcements.py
@@ -10,9 +10,9 @@
 from verbenamill_policy.heartbeats import Belief, Heartbeat
 from verbenamill_sidecar.owner import OwnUpstream
 from verbenamill_sidecar.protocol import (
-    Left,
-    NotUnderstood,
-    ReadAnnouncement,
+    LeaveAnnouncement,
+    InvalidAnnouncement,
+    AnnouncementParser,
 )
 from verbenamill_sidecar.refusing import refusal
 from verbenamill_telemetry import Event, log
@@ -38,7 +38,7 @@
         self,
         own: OwnUpstream,
         *,
-        read: ReadAnnouncement,
+        read: AnnouncementParser,
         is_known: Callable[[Heartbeat], bool],
         has_met: trio.Event,
         remember: Callable[[float], Awaitable[bool]],
@@ -58,10 +58,10 @@
         head = request.head
         told = self._read(head.method, head.target, request.body)
         match told:
-            case NotUnderstood():
+            case InvalidAnnouncement():
                 log(Event.ANNOUNCEMENT_REFUSED, reason=told.reason)
                 return refusal(HTTPStatus.BAD_REQUEST, told.reason)
-            case Left():
+            case LeaveAnnouncement():
                 known = self._own.leave(told)
                 log(Event.UPSTREAM_LEFT, instance=told.instance, known=known)
                 await self._remember(REMEMBER_TIME)
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -21,24 +21,24 @@
 )
 from verbenamill_policy.quarantine import Quarantine
 
-from verbenamill_sidecar.announcing import Announcements
+from verbenamill_sidecar.announcements import Announcements
 from verbenamill_sidecar.distribution import DistributionTree
-from verbenamill_sidecar.following import Follower
+from verbenamill_sidecar.store_follower import Follower
 from verbenamill_sidecar.gossip import Gossip
 from verbenamill_sidecar.health import Health
 from verbenamill_sidecar.ingress import Ingress
 from verbenamill_sidecar.ingress_context import IngressContext
-from verbenamill_sidecar.knowledge import Wishes
-from verbenamill_sidecar.moving import Moving
+from verbenamill_sidecar.desired_state import DesiredState
+from verbenamill_sidecar.rollout_controller import Moving
 from verbenamill_sidecar.owner import OwnerContext, OwnUpstream
 from verbenamill_sidecar.passed_on import PassedOn
 from verbenamill_sidecar.peers import Peers
 from verbenamill_sidecar.protocol import (
     HeaderNames,
-    ReadAnnouncement,
+    AnnouncementParser,
     Store,
 )
-from verbenamill_sidecar.registering import Registrar
+from verbenamill_sidecar.registration import Registrar
 from verbenamill_sidecar.settings import Settings
 from verbenamill_sidecar.stats import CallStats
 from verbenamill_sidecar.suspects import SuspectGate
@@ -79,7 +79,7 @@
     settings: Settings
     store: Store
     names: HeaderNames
-    read_announcement: ReadAnnouncement
+    read_announcement: AnnouncementParser
     now: Callable[[], datetime]
     random: Random
 
@@ -93,7 +93,7 @@
         self._table = MemberTable()
         self._peers = Peers(self._table, settings.vm.id)
         self._tree = DistributionTree(self._table, settings.vm.id)
-        self._wishes = Wishes()
+        self._wishes = DesiredState()
         self._stats = CallStats()
         self._gate = SuspectGate(
             Quarantine(patience=_PATIENCE * context.random.random()),
--- a/libs/sidecar/src/verbenamill_sidecar/datagrams.py
+++ b/libs/sidecar/src/verbenamill_sidecar/datagrams.py
@@ -138,7 +138,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def read_message(data: bytes) -> Message:
+def decode_message(data: bytes) -> Message:
     """Decode a datagram.
 
     :raises msgspec.MsgspecError: if it is none of ours.
@@ -146,6 +146,6 @@
     return _decoder.decode(data)
 
 
-def write_message(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """Encode a datagram."""
     return _encoder.encode(message)
--- a/libs/sidecar/src/verbenamill_sidecar/knowledge.py
+++ b/libs/sidecar/src/verbenamill_sidecar/desired_state.py
@@ -27,7 +27,7 @@
 Stamp = tuple[int, int]
 
 
-class Knowledge(Struct, kw_only=True):
+class StateSnapshot(Struct, kw_only=True):
     """All of it, as one daemon gives it to another.
 
     :param settled: what operators were told last of each service.
@@ -43,10 +43,10 @@
     has_verdicts: bool = False
 
 
-_decoder = msgspec.msgpack.Decoder(Knowledge)
+_decoder = msgspec.msgpack.Decoder(StateSnapshot)
 
 
-def write_knowledge(known: Knowledge) -> bytes:
+def encode_snapshot(known: StateSnapshot) -> bytes:
     """Encode it for another daemon.
 
     Routes resemble each other, so a fast compression saves five sixths of
@@ -55,7 +55,7 @@
     return zlib.compress(msgspec.msgpack.encode(known), level=1)
 
 
-def read_knowledge(body: bytes) -> Knowledge | None:
+def decode_snapshot(body: bytes) -> StateSnapshot | None:
     """Decode what another daemon gave; ``None`` if it cannot be read."""
     try:
         return _decoder.decode(zlib.decompress(body))
@@ -63,7 +63,7 @@
         return None
 
 
-class Wishes:
+class DesiredState:
     """Merges what comes from the store and from other daemons.
 
     Everything only grows: versions of the configuration, numbers of orders,
@@ -74,7 +74,7 @@
     """
 
     def __init__(self) -> None:
-        self._known = Knowledge()
+        self._known = StateSnapshot()
         self._table: RouteTable | None = None
         self._shares: dict[ServiceName, Shares] = {}
         self._verdicts: dict[ServiceName, Verdicts] = {}
@@ -113,7 +113,7 @@
         return stamp[0] > self.version or stamp[1] > self.newest_order
 
     @property
-    def known(self) -> Knowledge:
+    def known(self) -> StateSnapshot:
         """All of it."""
         self._known.verdicts = [
             settled
@@ -228,7 +228,7 @@
         )
         return True
 
-    def take_all(self, other: Knowledge, source: str) -> None:
+    def take_all(self, other: StateSnapshot, source: str) -> None:
         """Take in all that another daemon knows."""
         if other.configuration is not None:
             self.take_configuration(other.configuration, source)
--- a/libs/sidecar/src/verbenamill_sidecar/dissemination.py
+++ b/libs/sidecar/src/verbenamill_sidecar/dissemination.py
@@ -19,7 +19,7 @@
     NewsKind,
 )
 from verbenamill_sidecar.datagrams import Message, Records, Rumors
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.suspects import SuspectGate
 from verbenamill_telemetry import Event, log
 
@@ -52,7 +52,7 @@
         own: MemberRecord,
         table: MemberTable,
         neighbours: Neighbours,
-        wishes: Wishes,
+        wishes: DesiredState,
         send: Send,
         recall: Callable[[UpstreamRecord], None],
         gate: SuspectGate,
--- a/libs/sidecar/src/verbenamill_sidecar/gossip.py
+++ b/libs/sidecar/src/verbenamill_sidecar/gossip.py
@@ -37,18 +37,18 @@
     Summary,
     Tallies,
     Wanted,
-    read_message,
-    write_message,
+    decode_message,
+    encode_message,
 )
 from verbenamill_sidecar.dissemination import Dissemination
 from verbenamill_sidecar.distribution import DistributionTree
-from verbenamill_sidecar.following import Follower
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.store_follower import Follower
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.peers import Peer, Peers
 from verbenamill_sidecar.reconciliation import Reconciliation
 from verbenamill_sidecar.suspects import SuspectGate
 from verbenamill_sidecar.traffic import Traffic
-from verbenamill_sidecar.watching import Watch
+from verbenamill_sidecar.liveness import Watch
 from verbenamill_telemetry import Event, log
 
 #: How often news are passed on, in seconds.
@@ -93,7 +93,7 @@
         own: MemberRecord,
         table: MemberTable,
         peers: Peers,
-        wishes: Wishes,
+        wishes: DesiredState,
         random: Random,
         recall: Callable[[UpstreamRecord], None],
         follower: Follower,
@@ -264,7 +264,7 @@
                 continue
             self.traffic.count_received()
             try:
-                message = read_message(data)
+                message = decode_message(data)
             except msgspec.MsgspecError:
                 log(Event.MESSAGE_UNKNOWN, kind=f'{len(data)} bytes')
                 continue
@@ -401,7 +401,7 @@
         sock = self._sock
         if sock is None:
             return
-        data = write_message(message)
+        data = encode_message(message)
         try:
             sock.sendto(data, (address.host, address.port))
         except OSError:
--- a/libs/sidecar/src/verbenamill_sidecar/owner.py
+++ b/libs/sidecar/src/verbenamill_sidecar/owner.py
@@ -26,7 +26,7 @@
 from verbenamill_sidecar.in_band import read_in_band
 from verbenamill_sidecar.limiting import LimitKeeper
 from verbenamill_sidecar.linking import UpstreamLink, max_idle_of
-from verbenamill_sidecar.protocol import HeaderNames, Left
+from verbenamill_sidecar.protocol import HeaderNames, LeaveAnnouncement
 from verbenamill_sidecar.suspects import (
     BLOCKED_REASON,
     Identity,
@@ -128,7 +128,7 @@
             self._adopt()
         return belief
 
-    def leave(self, left: Left) -> bool:
+    def leave(self, left: LeaveAnnouncement) -> bool:
         """The upstream ends: it gets no work from now on."""
         known = self.register.leave(
             left.instance,
--- a/libs/sidecar/src/verbenamill_sidecar/passed_on.py
+++ b/libs/sidecar/src/verbenamill_sidecar/passed_on.py
@@ -17,13 +17,13 @@
     encode_outcome,
     read_hop,
 )
-from verbenamill_sidecar.knowledge import Knowledge, write_knowledge
+from verbenamill_sidecar.desired_state import StateSnapshot, encode_snapshot
 from verbenamill_sidecar.owner import OwnUpstream
 from verbenamill_sidecar.protocol import HeaderNames
 from verbenamill_sidecar.refusing import refusal
 from verbenamill_telemetry import Event, log
 
-Snapshot = Callable[[], Knowledge]
+Snapshot = Callable[[], StateSnapshot]
 
 
 class PassedOn:
@@ -68,7 +68,7 @@
         if header(headers, FETCH_HEADER) is not None:
             return Response(
                 status=HTTPStatus.OK,
-                body=write_knowledge(self._snapshot()),
+                body=encode_snapshot(self._snapshot()),
             )
         if header(headers, CALL_HEADER) is not None:
             # A daemon of another version of the program.
--- a/libs/sidecar/src/verbenamill_sidecar/protocol.py
+++ b/libs/sidecar/src/verbenamill_sidecar/protocol.py
@@ -74,21 +74,21 @@
     JOIN = 'join'
 
 
-class Published(Struct, frozen=True, kw_only=True):
+class PublishedRecords(Struct, frozen=True, kw_only=True):
     """What operators have published, as far as a read tells it.
 
-    :param next: position behind it, to read on from.
+    :param next_position: position behind it, to read on from.
     :param configuration: newest one among it, if any.
     :param faults: records that could not be read, and why.
     """
 
-    next: int
+    next_position: int
     configuration: Configuration | None = None
     orders: tuple[Order, ...] = ()
     faults: tuple[str, ...] = ()
 
 
-class Settlements(Struct, frozen=True, kw_only=True):
+class ReportedVerdicts(Struct, frozen=True, kw_only=True):
     """What operators were told of their orders.
 
     :param end: position behind the newest, for a conditional write.
@@ -98,7 +98,7 @@
     settled: dict[ServiceName, Settled]
 
 
-class Remembered(Struct, frozen=True, kw_only=True):
+class SavedState(Struct, frozen=True, kw_only=True):
     """What daemons keep in the store for those that start later.
 
     :param members: daemons that have told of themselves and not left.
@@ -116,23 +116,23 @@
     def calls(self) -> Counter[StorePurpose]:
         """Calls made since the start, by purpose."""
 
-    async def published(self) -> Result[Published, StoreFault]:
+    async def read_newest(self) -> Result[PublishedRecords, StoreFault]:
         """The newest of all that operators have published."""
 
-    async def follow(
+    async def read_from(
         self,
         position: int,
         wait: float,
-    ) -> Result[Published, StoreFault]:
+    ) -> Result[PublishedRecords, StoreFault]:
         """What operators published from a position on.
 
         :param wait: longest time until something comes, in seconds.
         """
 
-    async def settlements(self) -> Result[Settlements, StoreFault]:
+    async def read_verdicts(self) -> Result[ReportedVerdicts, StoreFault]:
         """What operators were told last, by service."""
 
-    async def settle(
+    async def record_verdict(
         self,
         settled: Settled,
         *,
@@ -140,10 +140,12 @@
     ) -> Result[None, StoreFault]:
         """Tell the operator, unless anything was told since ``end``."""
 
-    async def remembered(self) -> Result[Remembered, StoreFault]:
+    async def read_saved_state(self) -> Result[SavedState, StoreFault]:
         """What daemons keep there for those that start later."""
 
-    async def announce(self, member: MemberRecord) -> Result[None, StoreFault]:
+    async def announce_member(
+        self, member: MemberRecord
+    ) -> Result[None, StoreFault]:
         """Make a daemon known until its zone is saved."""
 
     async def save_zone(
@@ -171,14 +173,16 @@
         :param forgotten: what need not be kept any more.
         """
 
-    async def join(self, member: MemberRecord) -> Result[None, StoreFault]:
+    async def save_member(
+        self, member: MemberRecord
+    ) -> Result[None, StoreFault]:
         """Keep the record of one daemon, beside that of its zone."""
 
     async def close(self) -> None:
         """Close all connections."""
 
 
-class Left(Struct, frozen=True, kw_only=True):
+class LeaveAnnouncement(Struct, frozen=True, kw_only=True):
     """An upstream's word that it ends.
 
     :param born: its start, Unix time in milliseconds; 0 if not told.
@@ -188,14 +192,14 @@
     born: int
 
 
-class NotUnderstood(Struct, frozen=True):
+class InvalidAnnouncement(Struct, frozen=True):
     """Why a message of an upstream names none that could be used."""
 
     reason: str
 
 
 #: Reads what an upstream sends to its daemon: method, target, body.
-ReadAnnouncement = Callable[
+AnnouncementParser = Callable[
     [bytes, bytes, bytes],
-    Heartbeat | Left | NotUnderstood,
+    Heartbeat | LeaveAnnouncement | InvalidAnnouncement,
 ]
--- a/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
+++ b/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
@@ -34,7 +34,7 @@
     pack_suspects,
     split_records,
 )
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.desired_state import DesiredState
 
 #: Comparisons a second with each other zone together, of all daemons of a
 #: zone, in comparisons a round.
@@ -65,7 +65,7 @@
         own: Callable[[], MemberRecord],
         table: MemberTable,
         neighbours: Neighbours,
-        wishes: Wishes,
+        wishes: DesiredState,
         send: Send,
         quarantine: Quarantine,
     ) -> None:
@@ -231,7 +231,7 @@
     return -suspect.changed_at
 
 
-def _digest_moves(wishes: Wishes) -> int:
+def _digest_moves(wishes: DesiredState) -> int:
     """Digest of stages and verdicts, without the ages of moves."""
     found = 0
     for progress in wishes.known.progress.values():
--- a/libs/sidecar/src/verbenamill_sidecar/registering.py
+++ b/libs/sidecar/src/verbenamill_sidecar/registration.py
@@ -165,7 +165,7 @@
         while not self._gossip.has_heard.is_set():
             if not is_announced:
                 own = self._gossip.own
-                result = await self._store.announce(own)
+                result = await self._store.announce_member(own)
                 is_announced = isinstance(result, Success)
             await self._wait_heard(pause)
             if not self._gossip.has_heard.is_set():
@@ -179,7 +179,7 @@
             await self._gossip.has_heard.wait()
 
     async def _read_members(self, *, spread: bool) -> bool:
-        found = await self._store.remembered()
+        found = await self._store.read_saved_state()
         if not isinstance(found, Success):
             return False
         remembered = found.unwrap()
@@ -233,7 +233,7 @@
 
     async def _write(self) -> bool:
         own = self._gossip.own
-        result = await self._store.join(own)
+        result = await self._store.save_member(own)
         if not isinstance(result, Success):
             return False
         self._written = own
--- a/libs/sidecar/src/verbenamill_sidecar/moving.py
+++ b/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
@@ -18,10 +18,10 @@
 )
 from verbenamill_policy.tallies import Tally
 from verbenamill_sidecar.gossip import Gossip
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.owner import OwnUpstream
 from verbenamill_sidecar.peers import Peer, Peers
-from verbenamill_sidecar.protocol import Settlements, Store
+from verbenamill_sidecar.protocol import ReportedVerdicts, Store
 from verbenamill_telemetry import Event, log
 
 #: How often moves are looked at, in seconds.
@@ -70,7 +70,7 @@
         own_vm: VmId,
         own: OwnUpstream,
         store: Store,
-        wishes: Wishes,
+        wishes: DesiredState,
         peers: Peers,
         has_verdicts: Callable[[], bool],
     ) -> None:
@@ -247,7 +247,7 @@
         is theirs to decide. The first verdict counts; the other write is
         refused and its decider takes over what stands there.
         """
-        match await self._store.settlements():
+        match await self._store.read_verdicts():
             case Success(settlements):
                 known = settlements
             case Failure(_):
@@ -265,7 +265,7 @@
             target=order.target,
             verdict=verdict,
         )
-        match await self._store.settle(settled, end=known.end):
+        match await self._store.record_verdict(settled, end=known.end):
             case Success(_):
                 self._take_settled(settled)
                 return True
@@ -283,7 +283,7 @@
         assert self._gossip is not None
         self._gossip.tell_settled(settled)
 
-    def _is_final(self, order: Order, known: Settlements) -> bool:
+    def _is_final(self, order: Order, known: ReportedVerdicts) -> bool:
         """Whether the operator was told a verdict on this or a later order."""
         found = known.settled.get(order.service)
         if found is None or found.order < order.id:
--- a/libs/sidecar/src/verbenamill_sidecar/fetching.py
+++ b/libs/sidecar/src/verbenamill_sidecar/snapshot_client.py
@@ -3,13 +3,13 @@
 from verbenamill_http.client import Answer, Fault, Pool
 from verbenamill_http.messages import EMPTY, encode_request
 from verbenamill_sidecar.hop import FETCH_HEADER
-from verbenamill_sidecar.knowledge import Knowledge, read_knowledge
+from verbenamill_sidecar.desired_state import StateSnapshot, decode_snapshot
 
 #: Longest answer of another daemon, in bytes: some ten thousand routes.
 _MAX_KNOWLEDGE = 16 * 1024 * 1024
 
 
-async def fetch_knowledge(pool: Pool) -> Knowledge | None:
+async def fetch_snapshot(pool: Pool) -> StateSnapshot | None:
     """Ask a daemon; ``None`` if it cannot be reached or understood."""
     connection = await pool.take()
     if connection is None:
@@ -31,5 +31,5 @@
     finally:
         pool.discard(connection)
     if isinstance(answer, Answer):
-        return read_knowledge(answer.body)
+        return decode_snapshot(answer.body)
     return None
--- a/libs/sidecar/src/verbenamill_sidecar/following.py
+++ b/libs/sidecar/src/verbenamill_sidecar/store_follower.py
@@ -9,17 +9,17 @@
 from verbenamill_model.typing import VmId
 from verbenamill_sidecar.datagrams import NoticeKind
 from verbenamill_sidecar.distribution import NOTICE_PERIOD, DistributionTree
-from verbenamill_sidecar.fetching import fetch_knowledge
-from verbenamill_sidecar.knowledge import Stamp, Wishes
+from verbenamill_sidecar.snapshot_client import fetch_snapshot
+from verbenamill_sidecar.desired_state import Stamp, DesiredState
 from verbenamill_sidecar.peers import Peer, Peers
-from verbenamill_sidecar.protocol import Published, Store, StoreFault
+from verbenamill_sidecar.protocol import PublishedRecords, Store, StoreFault
 from verbenamill_telemetry import Event, log
 
 #: Longest that the store holds a read back until something comes, in s. A
 #: read that falls into an outage may never be answered, also not once the
 #: store is back; it is noticed only when the answer is overdue. What was
 #: published meanwhile has to be in force three seconds after the return.
-WAIT = 1.8
+LONG_POLL_TIMEOUT = 1.8
 #: The same once nothing has happened for a while. By then the reads of the
 #: daemons end at different times, as each waits a random part less, and the
 #: first one that notices an outage has not long to go.
@@ -65,7 +65,7 @@
         self,
         *,
         store: Store,
-        wishes: Wishes,
+        wishes: DesiredState,
         peers: Peers,
         random: Random,
         tree: DistributionTree,
@@ -170,7 +170,7 @@
             # order without its verdict seems to run still.
             return await self._read_verdicts()
         if self._position is None:
-            return self._take(await self._store.published())
+            return self._take(await self._store.read_newest())
         await trio.sleep_until(self._settle_until)
         found = await self._follow(self._position)
         match found:
@@ -181,11 +181,13 @@
                 return None
         return self._take(found)
 
-    async def _follow(self, position: int) -> Result[Published, StoreFault]:
-        found = await self._store.follow(position, self._find_wait())
+    async def _follow(
+        self, position: int
+    ) -> Result[PublishedRecords, StoreFault]:
+        found = await self._store.read_from(position, self._find_wait())
         now = trio.current_time()
         match found:
-            case Success(published) if published.next == position:
+            case Success(published) if published.next_position == position:
                 return found
             case Success(_):
                 self._settle_until = now + SETTLE
@@ -195,12 +197,12 @@
     def _find_wait(self) -> float:
         """How long the store may hold the next read back."""
         if trio.current_time() - self._stirred_at < _CALM_AFTER:
-            return WAIT
+            return LONG_POLL_TIMEOUT
         return CALM_WAIT * (1 - _CALM_SPREAD * self._random.random())
 
     def _take(
         self,
-        found: Result[Published, StoreFault],
+        found: Result[PublishedRecords, StoreFault],
     ) -> StoreFault | None:
         match found:
             case Success(published):
@@ -210,18 +212,18 @@
                 return self._lose(fault)
         raise AssertionError('a result is a success or a failure')
 
-    def _take_published(self, published: Published) -> None:
+    def _take_published(self, published: PublishedRecords) -> None:
         for unreadable in published.faults:
             log(Event.RECORD_UNREADABLE, reason=unreadable)
         if published.configuration is not None:
             self._wishes.take_configuration(published.configuration, 'store')
         for order in published.orders:
             self._wishes.take_order(order)
-        self._position = published.next
+        self._position = published.next_position
         self._recover()
 
     async def _read_verdicts(self) -> StoreFault | None:
-        match await self._store.settlements():
+        match await self._store.read_verdicts():
             case Success(settlements):
                 self._wishes.take_settlements(settlements.settled.values())
                 self._recover()
@@ -305,7 +307,7 @@
         return _FIRST_START if is_first else _HEAD_START
 
     async def _fetch_now(self, peer: Peer) -> None:
-        known = await fetch_knowledge(peer.pool)
+        known = await fetch_snapshot(peer.pool)
         if known is not None:
             self._wishes.take_all(known, peer.record.vm)
             self._begin_informed()
--- a/libs/sidecar/tests/test_dissemination.py
+++ b/libs/sidecar/tests/test_dissemination.py
@@ -33,11 +33,11 @@
     Rumors,
     Summary,
     Wanted,
-    write_message,
+    encode_message,
 )
 from verbenamill_sidecar.dissemination import Dissemination
 from verbenamill_sidecar.call import Call
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.reconciliation import (
     ALLOWANCE,
     FAR_COMPARISONS,
@@ -73,7 +73,7 @@
         self.vm = record.vm
         self.zone = record.availability_zone
         self.table = MemberTable()
-        self.wishes = Wishes()
+        self.wishes = DesiredState()
         self.recalled = []
         self.gate = SuspectGate(
             Quarantine(),
@@ -154,7 +154,7 @@
     def send(self, sender, to, message):
         crosses = self.daemons[to].zone != sender.zone
         self.sent[crosses] += 1
-        self.bytes[crosses] += len(write_message(message))
+        self.bytes[crosses] += len(encode_message(message))
         lost = self.random.random() < self.loss
         if not lost and not self.is_cut(sender, self.daemons[to]):
             self._wire.append((sender, to, message))
--- a/libs/sidecar/tests/test_gossip.py
+++ b/libs/sidecar/tests/test_gossip.py
@@ -17,7 +17,7 @@
 from verbenamill_policy.quarantine import Quarantine
 from verbenamill_sidecar.distribution import DistributionTree
 from verbenamill_sidecar.gossip import Gossip
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.peers import Peers
 from verbenamill_sidecar.suspects import SuspectGate
 
@@ -43,7 +43,7 @@
     def __init__(self, vm, *, incarnation=1, port=0):
         self.recalled = []
         self.table = MemberTable()
-        self.wishes = Wishes()
+        self.wishes = DesiredState()
         self.follower = FakeFollower(self.wishes)
         record = MemberRecord(
             vm=vm,
--- a/libs/sidecar/tests/test_silence.py
+++ b/libs/sidecar/tests/test_silence.py
@@ -11,7 +11,7 @@
 from verbenamill_policy.quarantine import Quarantine
 from verbenamill_sidecar.distribution import DistributionTree
 from verbenamill_sidecar.gossip import Gossip
-from verbenamill_sidecar.knowledge import Wishes
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.suspects import SuspectGate
 from verbenamill_sidecar.peers import MAX_IDLE, Peers
 
@@ -38,7 +38,7 @@
             own=own,
             table=table,
             peers=self.peers,
-            wishes=Wishes(),
+            wishes=DesiredState(),
             random=Random(1),
             recall=lambda _: None,
             follower=None,
--- a/libs/sidecar/tests/test_following.py
+++ b/libs/sidecar/tests/test_store_follower.py
@@ -9,10 +9,14 @@
 from verbenamill_model.typing import ConfigVersion
 from verbenamill_policy.members import MemberRecord, MemberTable
 from verbenamill_policy.routes import Configuration, Limits
-from verbenamill_sidecar import following
+from verbenamill_sidecar import store_follower
 from verbenamill_sidecar.distribution import DistributionTree
-from verbenamill_sidecar.following import Follower
-from verbenamill_sidecar.knowledge import Knowledge, Wishes, write_knowledge
+from verbenamill_sidecar.store_follower import Follower
+from verbenamill_sidecar.desired_state import (
+    StateSnapshot,
+    DesiredState,
+    encode_snapshot,
+)
 from verbenamill_sidecar.peers import Peers
 
 NEWEST = 7
@@ -24,16 +28,16 @@
 
     calls = 0
 
-    async def published(self):
+    async def read_newest(self):
         await trio.sleep_forever()
 
-    async def settlements(self):
+    async def read_verdicts(self):
         await trio.sleep_forever()
 
 
 def knowledge():
-    return write_knowledge(
-        Knowledge(
+    return encode_snapshot(
+        StateSnapshot(
             configuration=Configuration(
                 version=ConfigVersion(NEWEST),
                 routes=(),
@@ -65,7 +69,7 @@
     def __init__(self, nursery):
         self._nursery = nursery
         self._table = MemberTable()
-        self.wishes = Wishes()
+        self.wishes = DesiredState()
         self._add('own', 1)
         self.peers = Peers(self._table, 'own')
         self.follower = Follower(
@@ -104,7 +108,7 @@
 def play(monkeypatch):
     # A fetch that hangs never ends by itself here, so that what is awaited
     # can only come past it.
-    monkeypatch.setattr(following, '_FETCH_TIMEOUT', 1000)
+    monkeypatch.setattr(store_follower, '_FETCH_TIMEOUT', 1000)
 
     def run(act):
         async def main():
