--- a/deploy/node/src/verbenamill_node/starting.py
+++ b/deploy/node/src/verbenamill_node/starting.py
@@ -20,7 +20,7 @@
 )
 from verbenamill_sidecar.signals import watch_signals
 from verbenamill_telemetry import Event, log, set_up_logs
-from verbenamill_telemetry.streams import BoundedStream
+from verbenamill_telemetry.streams import NonBlockingStream
 
 #: Names the settings file, where no argument does.
 SETTINGS_VARIABLE = 'VERBENAMILL_BOOT'
@@ -37,9 +37,9 @@
         case Success(settings):
             return _run(settings, path)
         case Failure(faults):
-            set_up_logs(LoggingSettings(), stream=BoundedStream(1))
+            set_up_logs(LoggingSettings(), stream=NonBlockingStream(1))
             for fault in faults:
-                log(Event.SETTINGS_FAULT, path=path, fault=fault)
+                log(Event.SETTINGS_INVALID, path=path, fault=fault)
     return BAD_SETTINGS
 
 
@@ -52,7 +52,7 @@
 def _run(settings: Settings, path: Path) -> int:
     set_up_logs(
         settings.logging,
-        stream=BoundedStream(1),
+        stream=NonBlockingStream(1),
         vm=settings.vm.id,
     )
     gc.freeze()
--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -5,7 +5,7 @@
 from trio.testing import MockClock
 
 from verbenamill_http.addresses import parse_address
-from verbenamill_http.client import Answer
+from verbenamill_http.client import ClientResponse
 from verbenamill_platform_standins.serving import Told
 from verbenamill_policy.placement import FIRST_PAUSE
 from verbenamill_sidecar import ingress as ingress_module
@@ -265,7 +265,7 @@
 async def doubted_then_good(doubt):
     doubt(FOR_GOOD)
     await trio.sleep(0.5)
-    answer = Answer(status=200, headers=[], body=b'ok')
+    answer = ClientResponse(status=200, headers=[], body=b'ok')
     return Outcome(fate=Fate.ANSWERED, answer=answer, reached=True)
 
 
--- a/libs/calls/src/verbenamill_calls/asking.py
+++ b/libs/calls/src/verbenamill_calls/asking.py
@@ -21,7 +21,7 @@
 )
 from verbenamill_calls.ledger import StoredAnswer
 from verbenamill_calls.links import Links
-from verbenamill_http.messages import EMPTY, ResponseHead, header
+from verbenamill_http.messages import EMPTY_BODY, ResponseHead, get_header
 from verbenamill_calls.peers import Peer
 from verbenamill_calls.stored import read_answer, recall
 
@@ -114,7 +114,7 @@
         b'GET',
         ASK_TARGET,
         [(b'host', b'verbenamill'), encode_ask(question)],
-        Body(b'', EMPTY, None),
+        Body(b'', EMPTY_BODY, None),
     )
     head = fault or await exchange.wait()
     assert head is not None
@@ -147,5 +147,5 @@
 
 def read_report(head: ResponseHead) -> OwnerReport | None:
     """What an owner told beside its reply."""
-    told = header(head.headers, OWNER_HEADER)
+    told = get_header(head.headers, OWNER_HEADER)
     return None if told is None else decode_report(told)
--- a/libs/calls/src/verbenamill_calls/attempts.py
+++ b/libs/calls/src/verbenamill_calls/attempts.py
@@ -18,7 +18,7 @@
 from verbenamill_http.connection import HttpConnection
 from verbenamill_calls.exchange import Exchange, Fault, FaultKind
 from verbenamill_calls.ledger import Ledger, Remembered, StoredAnswer
-from verbenamill_http.messages import ResponseHead, header
+from verbenamill_http.messages import ResponseHead, get_header
 from verbenamill_calls.pool import Pool
 from verbenamill_calls.settings import CallSettings
 from verbenamill_calls.stored import read_answer, recall
@@ -226,7 +226,7 @@
         connection = self._exchange.connection
         head = self._head
         is_whole = head is not None and head.keep_alive and not is_broken
-        if is_whole and connection.is_between:
+        if is_whole and connection.is_between_messages:
             self._pool.give_back(connection)
         else:
             self._pool.discard(connection)
@@ -287,7 +287,7 @@
     if head.status == HTTPStatus.TOO_MANY_REQUESTS:
         return Outcome.SHED
     if head.status == HTTPStatus.SERVICE_UNAVAILABLE:
-        is_shed = header(head.headers, b'retry-after') is not None
+        is_shed = get_header(head.headers, b'retry-after') is not None
         return Outcome.SHED if is_shed else Outcome.FAILED
     if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return Outcome.FAILED
--- a/libs/calls/src/verbenamill_calls/body.py
+++ b/libs/calls/src/verbenamill_calls/body.py
@@ -5,13 +5,13 @@
 
 import trio
 
-from verbenamill_http.connection import HttpConnection, Source
+from verbenamill_http.connection import EventSource, HttpConnection
 from verbenamill_http.messages import (
     LAST_CHUNK,
-    Broken,
-    End,
-    Event,
+    EndOfBody,
     Framing,
+    MessageEvent,
+    ReadFailure,
     encode_chunk,
 )
 from verbenamill_runtime import Clock
@@ -49,12 +49,12 @@
         left = self._deadline - self._clock.elapsed()
         return max(left.total_seconds(), 0)
 
-    async def receive(self, source: Source) -> Event:
-        """Next event, or :class:`Broken` after too long a wait."""
+    async def receive(self, source: EventSource) -> MessageEvent:
+        """Next event, or :class:`ReadFailure` after too long a wait."""
         event = None
         with trio.move_on_after(min(self._silence, self.left())):
             event = await source.receive()
-        return event or Broken('nothing came for too long')
+        return event or ReadFailure('nothing came for too long')
 
     async def send(self, sink: HttpConnection, data: bytes) -> bool:
         """Send within the deadline; commonly the socket takes it at once."""
@@ -78,7 +78,7 @@
         self,
         prefix: bytes,
         framing: Framing,
-        rest: Source | None,
+        rest: EventSource | None,
     ) -> None:
         self.framing = framing
         self._prefix = prefix
@@ -146,7 +146,7 @@
     limit: int,
     most: int,
     limits: Limits,
-) -> Body | Broken:
+) -> Body | ReadFailure:
     """Read a request's body, as far as it may be kept in memory.
 
     :param limit: bytes kept in memory; the rest is left to be streamed.
@@ -157,16 +157,16 @@
     parts: list[bytes] = []
     size = 0
     while size <= limit:
-        event = source.ready()
+        event = source.receive_nowait()
         if event is None:
             event = await limits.receive(source)
         if isinstance(event, bytes):
             parts.append(event)
             size += len(event)
             continue
-        if event is End.END:
+        if event is EndOfBody.END:
             return Body(b''.join(parts), framing, None)
-        assert isinstance(event, Broken)
+        assert isinstance(event, ReadFailure)
         return event
     rest = _LimitedSource(source, most - size)
     return Body(b''.join(parts), framing, rest)
@@ -175,28 +175,28 @@
 class _LimitedSource:
     """Ends a body that grows too long, since no length told it before."""
 
-    def __init__(self, source: Source, left: int) -> None:
+    def __init__(self, source: EventSource, left: int) -> None:
         self._source = source
         self._left = left
 
-    def ready(self) -> Event | None:
-        event = self._source.ready()
+    def receive_nowait(self) -> MessageEvent | None:
+        event = self._source.receive_nowait()
         return None if event is None else self._count(event)
 
-    async def receive(self) -> Event:
+    async def receive(self) -> MessageEvent:
         return self._count(await self._source.receive())
 
-    def _count(self, event: Event) -> Event:
+    def _count(self, event: MessageEvent) -> MessageEvent:
         if isinstance(event, bytes):
             self._left -= len(event)
         if self._left < 0:
-            return Broken('the body is too long')
+            return ReadFailure('the body is too long')
         return event
 
 
 async def relay(
     head: bytes,
-    source: Source,
+    source: EventSource,
     sink: HttpConnection,
     framing: Framing | None,
     *,
@@ -215,7 +215,7 @@
         pending.append(_frame(prefix, framing))
         relayed = len(prefix)
     while True:
-        event = source.ready()
+        event = source.receive_nowait()
         if event is None:
             if pending and not await limits.send(sink, b''.join(pending)):
                 return Relayed.SINK_BROKEN
@@ -225,7 +225,7 @@
             relayed += len(event)
             pending.append(_frame(event, framing))
             continue
-        if event is not End.END:
+        if event is not EndOfBody.END:
             return Relayed.SOURCE_BROKEN
         _end_body(pending, framing, relayed)
         if pending and not await limits.send(sink, b''.join(pending)):
--- a/libs/calls/src/verbenamill_calls/call.py
+++ b/libs/calls/src/verbenamill_calls/call.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from verbenamill_calls.body import Body, Relayed
-from verbenamill_http.connection import HttpConnection, Source
+from verbenamill_http.connection import EventSource, HttpConnection
 from verbenamill_http.messages import Header, ResponseHead
 from verbenamill_model.typing import (
     Priority,
@@ -82,7 +82,7 @@
     def __init__(
         self,
         head: ResponseHead,
-        source: Source,
+        source: EventSource,
         finish: Callable[[Relayed], None],
     ) -> None:
         self.head = head
--- a/libs/calls/src/verbenamill_calls/caller_side.py
+++ b/libs/calls/src/verbenamill_calls/caller_side.py
@@ -7,7 +7,7 @@
 from verbenamill_calls.context import CallContext
 from verbenamill_calls.handling import Handling
 from verbenamill_calls.ingress import Ingress
-from verbenamill_http.messages import Broken, RequestHead
+from verbenamill_http.messages import ReadFailure, RequestHead
 from verbenamill_calls.requests import deadline_of, make_call
 from verbenamill_calls.responses import encode_refusal
 from verbenamill_calls.routing import RouteTable
@@ -42,7 +42,7 @@
         now = self._context.clock.elapsed()
         deadline, is_shortened = deadline_of(head, route, now)
         body = await handling.read_body(connection, head, deadline)
-        if isinstance(body, Broken):
+        if isinstance(body, ReadFailure):
             return await self._reject_body(connection, body)
         call = make_call(
             head,
@@ -51,7 +51,7 @@
             caller=host,
             deadline=deadline,
             is_shortened=is_shortened,
-            is_gone=connection.is_gone,
+            is_gone=connection.is_closed_by_peer,
         )
         if isinstance(call, Refusal):
             return await handling.reject(connection, call)
@@ -76,7 +76,7 @@
     async def _reject_body(
         self,
         connection: HttpConnection,
-        broken: Broken,
+        broken: ReadFailure,
     ) -> bool:
         status = broken.status or HTTPStatus.REQUEST_TIMEOUT
         refusal = refuse(status, Fate.NOT_RUN, f'body: {broken.reason}')
--- a/libs/calls/src/verbenamill_calls/exchange.py
+++ b/libs/calls/src/verbenamill_calls/exchange.py
@@ -10,11 +10,11 @@
 from verbenamill_calls.body import Body, Limits, Relayed
 from verbenamill_http.connection import HttpConnection
 from verbenamill_http.messages import (
-    Broken,
-    Event,
+    Header,
+    MessageEvent,
+    ReadFailure,
     ResponseHead,
     encode_request,
-    Header,
 )
 from verbenamill_calls.settings import CallSettings
 from verbenamill_runtime import Clock
@@ -81,7 +81,10 @@
     def is_silent(self) -> bool:
         """Whether nothing at all came back for suspiciously long."""
         waited = self._clock.elapsed() - self.started_at
-        return not self.connection.received and waited > self._settings.silence
+        return (
+            not self.connection.received_bytes
+            and waited > self._settings.silence
+        )
 
     async def send(
         self,
@@ -95,7 +98,7 @@
         if self.started_at >= self._deadline:
             return Fault(FaultKind.TOO_LATE, 'the deadline passed before')
         head = encode_request(method, target, headers, body.framing)
-        self.connection.expect_answer(is_bodiless=method == b'HEAD')
+        self.connection.expect_response(is_bodiless=method == b'HEAD')
         relayed = await body.send(head, self.connection, self.limits)
         if relayed is Relayed.WHOLE:
             return None
@@ -129,7 +132,7 @@
         self,
         now: timedelta,
         until: timedelta | None,
-    ) -> Event | None:
+    ) -> MessageEvent | None:
         end = self._deadline if until is None else min(until, self._deadline)
         event = None
         with trio.move_on_after(min(POLL, (end - now).total_seconds())):
@@ -143,13 +146,13 @@
         with trio.move_on_after(_EARLY_ANSWER):
             event = await self.connection.receive()
         if isinstance(event, ResponseHead):
-            self.connection.put_back(event)
+            self.connection.push_back(event)
             return None
         return Fault(FaultKind.LOST, 'the connection broke while sending')
 
 
-def _read_head(event: Event) -> ResponseHead | Fault:
-    if isinstance(event, Broken):
+def _read_head(event: MessageEvent) -> ResponseHead | Fault:
+    if isinstance(event, ReadFailure):
         kind = FaultKind.LOST if event.status is None else FaultKind.BAD_ANSWER
         return Fault(kind, event.reason)
     assert isinstance(event, ResponseHead), event
--- a/libs/calls/src/verbenamill_calls/handling.py
+++ b/libs/calls/src/verbenamill_calls/handling.py
@@ -5,7 +5,7 @@
 from verbenamill_calls.body import Body, Limits, Relayed, read_body
 from verbenamill_calls.call import Refusal, Reply
 from verbenamill_http.connection import HttpConnection
-from verbenamill_http.messages import Broken, Header, RequestHead
+from verbenamill_http.messages import Header, ReadFailure, RequestHead
 from verbenamill_calls.requests import wants_continue
 from verbenamill_calls.responses import encode_refusal, send_reply
 from verbenamill_calls.settings import CallSettings
@@ -37,9 +37,9 @@
         connection: HttpConnection,
         head: RequestHead,
         deadline: timedelta,
-    ) -> Body | Broken:
+    ) -> Body | ReadFailure:
         """Read a request's body, as far as it may be kept in memory."""
-        if wants_continue(head) and not connection.has_ready:
+        if wants_continue(head) and not connection.has_buffered_event:
             await connection.send(_CONTINUE)
         return await read_body(
             connection,
--- a/libs/calls/src/verbenamill_calls/local.py
+++ b/libs/calls/src/verbenamill_calls/local.py
@@ -287,7 +287,7 @@
         free_slot: Callable[[], None],
     ) -> None:
         try:
-            await connection.hang_up(_CANCEL_GRACE)
+            await connection.close_gracefully(_CANCEL_GRACE)
         finally:
             pool.discard(connection)
             free_slot()
--- a/libs/calls/src/verbenamill_calls/owner_side.py
+++ b/libs/calls/src/verbenamill_calls/owner_side.py
@@ -16,7 +16,7 @@
     whole_milliseconds,
 )
 from verbenamill_calls.local import LocalUpstream
-from verbenamill_http.messages import Broken, Header, RequestHead
+from verbenamill_http.messages import Header, ReadFailure, RequestHead
 from verbenamill_calls.requests import clean_headers
 from verbenamill_calls.responses import encode_report_only
 from verbenamill_model.typing import RequestId
@@ -47,7 +47,7 @@
         now = self._handling.clock.elapsed()
         deadline = now + timedelta(milliseconds=hop.timeout)
         body = await self._handling.read_body(connection, head, deadline)
-        if isinstance(body, Broken):
+        if isinstance(body, ReadFailure):
             return False
         call = _call_of(hop, head, body, deadline, connection)
         self._running.add(call.id)
@@ -66,7 +66,7 @@
         now = self._handling.clock.elapsed()
         deadline = now + timedelta(milliseconds=ask.timeout)
         body = await self._handling.read_body(connection, head, deadline)
-        if isinstance(body, Broken):
+        if isinstance(body, ReadFailure):
             return False
         if ask.idempotent:
             report = self._report(is_running=ask.id in self._running)
@@ -152,7 +152,7 @@
         target=head.target,
         headers=clean_headers(head),
         body=body,
-        is_gone=connection.is_gone,
+        is_gone=connection.is_closed_by_peer,
         key=hop.key,
         is_shortened=hop.is_shortened,
     )
--- a/libs/calls/src/verbenamill_calls/pool.py
+++ b/libs/calls/src/verbenamill_calls/pool.py
@@ -113,7 +113,7 @@
         oldest = trio.current_time() - self._max_idle
         while self._idle:
             connection = self._idle.pop()
-            if connection.used_at >= oldest and connection.is_quiet():
+            if connection.used_at >= oldest and connection.is_usable():
                 connection.is_reused = True
                 return connection
             self.discard(connection)
--- a/libs/calls/src/verbenamill_calls/remote.py
+++ b/libs/calls/src/verbenamill_calls/remote.py
@@ -15,7 +15,7 @@
 )
 from verbenamill_calls.ledger import StoredAnswer
 from verbenamill_calls.links import Links
-from verbenamill_http.messages import End, ResponseHead, header
+from verbenamill_http.messages import EndOfBody, ResponseHead, get_header
 from verbenamill_calls.peers import LOST_POINTS, Peer
 from verbenamill_calls.stored import read_answer, recall
 
@@ -106,7 +106,7 @@
         if not isinstance(asked, Asked) or asked.report.is_running:
             return False
         # Its answer may have come while we asked.
-        return self._exchange.connection.is_quiet()
+        return self._exchange.connection.is_usable()
 
     def abandon(self) -> None:
         """Cancel the call: the owner sees its connection close."""
@@ -153,7 +153,7 @@
 
     def _take_refusal(self, refusal: Refusal, head: ResponseHead) -> Refusal:
         assert self._exchange is not None
-        is_ended = self._exchange.connection.ready() is End.END
+        is_ended = self._exchange.connection.receive_nowait() is EndOfBody.END
         self._release(
             head,
             Relayed.WHOLE if is_ended else Relayed.SOURCE_BROKEN,
@@ -190,7 +190,7 @@
 
     def _judge(self, head: ResponseHead) -> None:
         is_failed = head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-        is_shed = header(head.headers, b'retry-after') is not None
+        is_shed = get_header(head.headers, b'retry-after') is not None
         if is_failed and not is_shed:
             now = self._clock.elapsed()
             self.peer.fail(1, now, self._links.context.random)
@@ -215,7 +215,7 @@
             return
         connection = exchange.connection
         is_whole = relayed is Relayed.WHOLE and head.keep_alive
-        if is_whole and connection.is_between:
+        if is_whole and connection.is_between_messages:
             self._exchange = None
             self.peer.pool.give_back(connection)
         else:
--- a/libs/calls/src/verbenamill_calls/requests.py
+++ b/libs/calls/src/verbenamill_calls/requests.py
@@ -13,8 +13,8 @@
     TRANSFER_ENCODING,
     Header,
     RequestHead,
-    end_to_end,
-    header,
+    end_to_end_headers,
+    get_header,
 )
 from verbenamill_calls.routing import is_idempotent
 from verbenamill_calls.settings import CallSettings
@@ -66,7 +66,7 @@
 
 def wants_continue(head: RequestHead) -> bool:
     """Whether the sender waits for a word before it sends the body."""
-    expected = header(head.headers, _EXPECT)
+    expected = get_header(head.headers, _EXPECT)
     return expected is not None and expected.lower() == b'100-continue'
 
 
@@ -76,7 +76,7 @@
     now: timedelta,
 ) -> tuple[timedelta, bool]:
     """When a call must have ended, and whether its caller shortened that."""
-    told = header(head.headers, DEADLINE_HEADER)
+    told = get_header(head.headers, DEADLINE_HEADER)
     if told is None or not told.isdigit():
         return now + route.timeout, False
     wanted = timedelta(milliseconds=min(int(told[:12]), 10**9))
@@ -94,7 +94,7 @@
     is_gone: Callable[[], bool],
 ) -> Call | Refusal:
     """The call that a request asks for."""
-    key = header(head.headers, _IDEMPOTENCY_KEY)
+    key = get_header(head.headers, _IDEMPOTENCY_KEY)
     if key is not None and not 0 < len(key) <= _MAX_KEY:
         return _fail(
             HTTPStatus.BAD_REQUEST,
@@ -125,15 +125,15 @@
     """Headers of a request that go on to the upstream."""
     return [
         pair
-        for pair in end_to_end(head.headers)
+        for pair in end_to_end_headers(head.headers)
         if pair[0] != DEADLINE_HEADER and pair[0] != _EXPECT
     ]
 
 
 def _scope_key(head: RequestHead, route: Route, key: bytes) -> str:
     """Key that two callers cannot share, as they would share its answer."""
-    identity = header(head.headers, b'authorization') or b''
-    cookie = header(head.headers, b'cookie') or b''
+    identity = get_header(head.headers, b'authorization') or b''
+    cookie = get_header(head.headers, b'cookie') or b''
     digest = blake2b(digest_size=16)
     for part in (route.service.encode(), identity, cookie, key):
         digest.update(b'%d:%b' % (len(part), part))
--- a/libs/calls/src/verbenamill_calls/responses.py
+++ b/libs/calls/src/verbenamill_calls/responses.py
@@ -10,12 +10,12 @@
 from verbenamill_calls.call import Fate, Refusal, Reply
 from verbenamill_http.connection import HttpConnection
 from verbenamill_http.messages import (
-    EMPTY,
+    EMPTY_BODY,
     Framing,
     Header,
     ResponseHead,
     encode_response,
-    end_to_end,
+    end_to_end_headers,
 )
 
 OUTCOME_HEADER = b'verbenamill-outcome'
@@ -60,7 +60,7 @@
     head = ResponseHead(
         status=status,
         headers=[report],
-        framing=EMPTY,
+        framing=EMPTY_BODY,
         keep_alive=not close,
     )
     return encode_response(head, close=close)
@@ -81,7 +81,7 @@
     head = reply.head
     out = ResponseHead(
         status=head.status,
-        headers=end_to_end(head.headers) + extra,
+        headers=end_to_end_headers(head.headers) + extra,
         framing=head.framing,
         keep_alive=not close,
         is_bodiless=head.is_bodiless,
--- a/libs/calls/src/verbenamill_calls/server.py
+++ b/libs/calls/src/verbenamill_calls/server.py
@@ -14,7 +14,7 @@
 from verbenamill_calls.hop import HopAsk, HopCall, read_hop
 from verbenamill_calls.ingress import Ingress
 from verbenamill_calls.local import LocalUpstream
-from verbenamill_http.messages import Broken, Event, RequestHead
+from verbenamill_http.messages import MessageEvent, ReadFailure, RequestHead
 from verbenamill_calls.owner_side import NOT_A_DAEMON, OwnerSide
 from verbenamill_calls.requests import find_fault
 from verbenamill_calls.responses import encode_refusal
@@ -126,7 +126,7 @@
         oldest = self._clock.elapsed() - _FRESH
         for seat in self._seats:
             waits_since = seat.waits_since
-            if waits_since is None or not seat.connection.is_between:
+            if waits_since is None or not seat.connection.is_between_messages:
                 continue
             if waits_since < oldest:
                 seat.dismiss(_STOPPING)
@@ -167,7 +167,7 @@
 
     async def _serve_requests(self, seat: '_Seat', host: str) -> None:
         connection = seat.connection
-        connection.serve()
+        connection.expect_requests()
         keep = True
         while keep:
             event = await self._next_request(seat)
@@ -179,23 +179,23 @@
                 refusal = refuse(event.status, Fate.FAILED, event.reason)
                 await connection.send(encode_refusal(refusal, close=True))
             keep = False
-        await connection.hang_up(_CLOSE_GRACE)
+        await connection.close_gracefully(_CLOSE_GRACE)
 
-    async def _next_request(self, seat: '_Seat') -> RequestHead | Broken:
+    async def _next_request(self, seat: '_Seat') -> RequestHead | ReadFailure:
         connection = seat.connection
-        event = connection.ready() or await self._wait_for_event(seat)
-        if isinstance(event, Broken) and seat.dismissal is not None:
+        event = connection.receive_nowait() or await self._wait_for_event(seat)
+        if isinstance(event, ReadFailure) and seat.dismissal is not None:
             # A request that came just before its connection was to end, on
             # a busy loop long before, would be thrown away: its caller sees
             # the connection close without an answer. It is served instead.
-            if not connection.is_between or connection.is_quiet():
+            if not connection.is_between_messages or connection.is_usable():
                 return seat.dismissal
             seat.dismissal = None
             event = await self._wait_for_event(seat)
-        assert isinstance(event, RequestHead | Broken)
+        assert isinstance(event, RequestHead | ReadFailure)
         return event
 
-    async def _wait_for_event(self, seat: '_Seat') -> Event:
+    async def _wait_for_event(self, seat: '_Seat') -> MessageEvent:
         seat.waits_since = self._clock.elapsed()
         event = await seat.connection.receive()
         seat.waits_since = None
@@ -208,7 +208,7 @@
             if seat.waits_since is None:
                 continue
             waited = now - seat.waits_since
-            if not seat.connection.is_between:
+            if not seat.connection.is_between_messages:
                 if waited > self._settings.head_timeout:
                     seat.dismiss(_SLOW_HEAD)
             elif waited > self._settings.idle_timeout:
@@ -256,17 +256,17 @@
     def __init__(self, connection: HttpConnection) -> None:
         self.connection = connection
         self.waits_since: timedelta | None = None
-        self.dismissal: Broken | None = None
+        self.dismissal: ReadFailure | None = None
 
-    def dismiss(self, dismissal: Broken) -> None:
+    def dismiss(self, dismissal: ReadFailure) -> None:
         """End the wait, unless a request has come meanwhile."""
         self.dismissal = dismissal
-        self.connection.wake()
+        self.connection.interrupt_receive()
 
 
-_STOPPING = Broken('the daemon stops')
-_IDLE = Broken('idle for too long')
-_SLOW_HEAD = Broken('head is too slow', HTTPStatus.REQUEST_TIMEOUT)
+_STOPPING = ReadFailure('the daemon stops')
+_IDLE = ReadFailure('idle for too long')
+_SLOW_HEAD = ReadFailure('head is too slow', HTTPStatus.REQUEST_TIMEOUT)
 
 
 def _peer_host(stream: trio.SocketStream) -> str:
--- a/libs/calls/src/verbenamill_calls/stored.py
+++ b/libs/calls/src/verbenamill_calls/stored.py
@@ -8,9 +8,9 @@
 from verbenamill_http.connection import HttpConnection
 from verbenamill_calls.ledger import StoredAnswer
 from verbenamill_http.messages import (
-    End,
-    Event,
+    EndOfBody,
     Framing,
+    MessageEvent,
     ResponseHead,
 )
 
@@ -18,14 +18,14 @@
 class MemorySource:
     """Events that are all there."""
 
-    def __init__(self, events: list[Event]) -> None:
+    def __init__(self, events: list[MessageEvent]) -> None:
         self._events = deque(events)
 
-    def ready(self) -> Event | None:
+    def receive_nowait(self) -> MessageEvent | None:
         """Next event that needs no waiting."""
         return self._events.popleft()
 
-    async def receive(self) -> Event:
+    async def receive(self) -> MessageEvent:
         """Next event."""
         return self._events.popleft()
 
@@ -42,20 +42,20 @@
     An answer over the limit is put back, to be streamed, and is ``WHOLE``
     in so far as nothing of it was lost.
     """
-    parts: list[Event] = []
+    parts: list[MessageEvent] = []
     size = 0
     while size <= limit:
-        event = connection.ready()
+        event = connection.receive_nowait()
         if event is None:
             event = await limits.receive(connection)
-        if event is End.END:
+        if event is EndOfBody.END:
             body = b''.join(part for part in parts if isinstance(part, bytes))
             return _store(head, body)
         if not isinstance(event, bytes):
             return Relayed.SOURCE_BROKEN
         parts.append(event)
         size += len(event)
-    connection.put_back(*parts)
+    connection.push_back(*parts)
     return Relayed.WHOLE
 
 
@@ -77,8 +77,8 @@
         )
     if isinstance(answer, Refusal):
         return answer
-    events: list[Event] = [answer.body] if answer.body else []
-    events.append(End.END)
+    events: list[MessageEvent] = [answer.body] if answer.body else []
+    events.append(EndOfBody.END)
     return Reply(answer.head, MemorySource(events), _forget)
 
 
--- a/libs/calls/tests/test_pool.py
+++ b/libs/calls/tests/test_pool.py
@@ -67,9 +67,9 @@
         fresh = await pool.take()
         assert not fresh.is_reused
         pool.give_back(fresh)
-        await fresh.hang_up(0)
+        await fresh.close_gracefully(0)
         with trio.move_on_after(1):
-            while fresh.is_quiet():
+            while fresh.is_usable():
                 await trio.lowlevel.checkpoint()
         assert not (await pool.take()).is_reused
         assert pool.open == 1
--- a/libs/cli/src/verbenamill_cli/fleet.py
+++ b/libs/cli/src/verbenamill_cli/fleet.py
@@ -10,7 +10,7 @@
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.output import Report, table
 from verbenamill_http.addresses import parse_address
-from verbenamill_http.client import Pool
+from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import ServiceName
 from verbenamill_policy.limits import NamedLimit
 from verbenamill_policy.members import MemberRecord
@@ -88,7 +88,7 @@
 
 
 async def _ask(record: MemberRecord) -> StateSnapshot | None:
-    pool = Pool(
+    pool = ConnectionPool(
         parse_address(record.calls),
         limit=1,
         max_idle=ANSWER_TIMEOUT,
--- a/libs/daemon/src/verbenamill_daemon/main.py
+++ b/libs/daemon/src/verbenamill_daemon/main.py
@@ -44,7 +44,7 @@
         return
     set_up_logs(LoggingSettings())
     for fault in faults:
-        log(Event.SETTINGS_FAULT, path=config, fault=fault)
+        log(Event.SETTINGS_INVALID, path=config, fault=fault)
     raise typer.Exit(BAD_SETTINGS)
 
 
--- a/libs/http/src/verbenamill_http/client.py
+++ b/libs/http/src/verbenamill_http/client.py
@@ -10,13 +10,13 @@
 
 from verbenamill_http.addresses import Address
 from verbenamill_http.messages import (
-    Broken,
-    End,
+    EndOfBody,
     Header,
+    ReadFailure,
     ResponseHead,
 )
 from verbenamill_http.parsing import ResponseCollector
-from verbenamill_http.sockets import UNACKNOWLEDGED, connect
+from verbenamill_http.sockets import USER_TIMEOUT_MS, connect
 
 #: Bytes read at a time.
 READ_SIZE = 64 * 1024
@@ -25,19 +25,19 @@
 
 
 @unique
-class Fault(Enum):
+class ExchangeFailure(Enum):
     """Why there is no answer.
 
     ``UNSENT`` proves that the other end has not got the request. After
     ``LOST`` and ``GARBLED`` it may have run.
     """
 
-    UNSENT = 'unsent'
-    LOST = 'lost'
-    GARBLED = 'garbled'
+    NOT_SENT = 'unsent'
+    CONNECTION_LOST = 'lost'
+    MALFORMED = 'garbled'
 
 
-class Answer(Struct, kw_only=True):
+class ClientResponse(Struct, kw_only=True):
     """A whole answer.
 
     :param is_reusable: whether its connection is in step for another one.
@@ -49,16 +49,16 @@
     is_reusable: bool = True
 
 
-class Connection:
+class ClientConnection:
     """One connection; one request at a time."""
 
     def __init__(self, sock: socket.socket, *, opened_at: float) -> None:
         self._sock = sock
         self.opened_at = opened_at
         self.used_at = opened_at
-        self.is_fresh = True
+        self.is_new = True
 
-    def is_quiet(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether it is open and no byte waits on it.
 
         A byte that nobody asked for is an answer too many, or the end.
@@ -71,14 +71,14 @@
             return False
         return False
 
-    async def is_closed_within(self, timeout: float) -> bool:
+    async def closes_within(self, timeout: float) -> bool:
         """Whether the other end closes it before anything was sent.
 
         :param timeout: how long that is waited for, in seconds.
         """
         with trio.move_on_after(timeout):
             await trio.lowlevel.wait_readable(self._sock)
-        return not self.is_quiet()
+        return not self.is_usable()
 
     def close(self) -> None:
         """Close at once."""
@@ -88,10 +88,10 @@
         self,
         request: bytes,
         *,
-        is_ours: Callable[[ResponseHead], bool],
+        matches_request: Callable[[ResponseHead], bool],
         is_bodiless: bool,
         max_body: int,
-    ) -> Answer | Fault:
+    ) -> ClientResponse | ExchangeFailure:
         """Send a request and read its answer.
 
         A caller that is cancelled meanwhile has to close the connection.
@@ -103,9 +103,9 @@
         """
         rest = self._try_send(request)
         if rest is None:
-            return Fault.UNSENT
+            return ExchangeFailure.NOT_SENT
         reading = _Reading(
-            is_ours,
+            matches_request,
             ResponseCollector(MAX_HEAD, is_bodiless=is_bodiless),
             max_body,
         )
@@ -117,16 +117,18 @@
         self,
         rest: bytes,
         reading: '_Reading',
-    ) -> Answer | Fault:
+    ) -> ClientResponse | ExchangeFailure:
         # The other end may answer a long request before it has read all of
         # it. Both directions are served, so that neither waits for ever.
-        result: Answer | Fault = Fault.LOST
+        result: ClientResponse | ExchangeFailure = (
+            ExchangeFailure.CONNECTION_LOST
+        )
         async with trio.open_nursery() as nursery:
             state = _Sending()
             nursery.start_soon(self._send_rest, rest, state)
             result = await self._read(reading)
             nursery.cancel_scope.cancel()
-        if isinstance(result, Answer) and not state.is_done:
+        if isinstance(result, ClientResponse) and not state.is_done:
             # The rest of the body is still due on this connection; the next
             # request would be taken for it.
             result.is_reusable = False
@@ -144,7 +146,9 @@
                 return
         state.is_done = True
 
-    async def _read(self, reading: '_Reading') -> Answer | Fault:
+    async def _read(
+        self, reading: '_Reading'
+    ) -> ClientResponse | ExchangeFailure:
         while True:
             try:
                 await trio.lowlevel.wait_readable(self._sock)
@@ -152,7 +156,7 @@
             except BlockingIOError:
                 continue
             except OSError:
-                return Fault.LOST
+                return ExchangeFailure.CONNECTION_LOST
             result = reading.feed(data) if data else reading.end()
             if result is not None:
                 return result
@@ -180,18 +184,18 @@
 
     def __init__(
         self,
-        is_ours: Callable[[ResponseHead], bool],
+        matches_request: Callable[[ResponseHead], bool],
         collector: ResponseCollector,
         max_body: int,
     ) -> None:
-        self._is_ours = is_ours
+        self._is_ours = matches_request
         self._collector = collector
         self._max_body = max_body
         self._head: ResponseHead | None = None
         self._parts: list[bytes] = []
         self._size = 0
 
-    def feed(self, data: bytes) -> Answer | Fault | None:
+    def feed(self, data: bytes) -> ClientResponse | ExchangeFailure | None:
         """Take in bytes; the answer as soon as it is whole."""
         is_broken = False
         try:
@@ -200,21 +204,21 @@
             is_broken = True
         result = self._take_events()
         if result is None and is_broken:
-            return Fault.GARBLED
-        if isinstance(result, Answer) and is_broken:
+            return ExchangeFailure.MALFORMED
+        if isinstance(result, ClientResponse) and is_broken:
             result.is_reusable = False
         return result
 
-    def end(self) -> Answer | Fault:
+    def end(self) -> ClientResponse | ExchangeFailure:
         """The connection has ended in good order."""
         head = self._head
         if head is not None and not head.is_framed and self._is_ours(head):
             # No length was told, so the end of the connection is the end
             # of the body. A reset does not come here: it is an error.
             return self._answer(head, is_reusable=False)
-        return Fault.LOST
+        return ExchangeFailure.CONNECTION_LOST
 
-    def _take_events(self) -> Answer | Fault | None:
+    def _take_events(self) -> ClientResponse | ExchangeFailure | None:
         events = self._collector.events
         while events:
             event = events.popleft()
@@ -222,23 +226,26 @@
                 self._parts.append(event)
                 self._size += len(event)
                 if self._size > self._max_body:
-                    return Fault.GARBLED
+                    return ExchangeFailure.MALFORMED
             elif isinstance(event, ResponseHead):
                 self._head = event
-            elif event is End.END:
+            elif event is EndOfBody.END:
                 answer = self._finish()
                 if answer is not None:
                     return answer
             else:
-                assert isinstance(event, Broken)
-                return Fault.GARBLED
+                assert isinstance(event, ReadFailure)
+                return ExchangeFailure.MALFORMED
         return None
 
-    def _finish(self) -> Answer | None:
+    def _finish(self) -> ClientResponse | None:
         head = self._head
         assert head is not None
         if self._is_ours(head):
-            is_alone = not self._collector.events and self._collector.is_between
+            is_alone = (
+                not self._collector.events
+                and self._collector.is_between_messages
+            )
             return self._answer(
                 head,
                 is_reusable=head.keep_alive and is_alone,
@@ -248,8 +255,10 @@
         self._size = 0
         return None
 
-    def _answer(self, head: ResponseHead, *, is_reusable: bool) -> Answer:
-        return Answer(
+    def _answer(
+        self, head: ResponseHead, *, is_reusable: bool
+    ) -> ClientResponse:
+        return ClientResponse(
             status=head.status,
             headers=head.headers,
             body=b''.join(self._parts),
@@ -257,7 +266,7 @@
         )
 
 
-class Pool:
+class ConnectionPool:
     """Kept connections to one address.
 
     :param limit: open connections at most.
@@ -274,15 +283,15 @@
         limit: int,
         max_idle: float,
         connect_timeout: float,
-        unacknowledged: int = UNACKNOWLEDGED,
+        user_timeout_ms: int = USER_TIMEOUT_MS,
     ) -> None:
         self.address = address
         self.max_idle = max_idle
         self.open = 0
         self._limit = limit
         self._connect_timeout = connect_timeout
-        self._unacknowledged = unacknowledged
-        self._idle: list[Connection] = []
+        self._unacknowledged = user_timeout_ms
+        self._idle: list[ClientConnection] = []
         self._trusted_since = float('-inf')
 
     @property
@@ -290,11 +299,11 @@
         """Whether all connections that are allowed are in use."""
         return self.open >= self._limit and not self._idle
 
-    async def take(
+    async def acquire(
         self,
         *,
         max_idle: float | None = None,
-    ) -> Connection | None:
+    ) -> ClientConnection | None:
         """A connection of one's own; ``None`` if none can be had.
 
         :param max_idle: shorter idle time for requests that must not be
@@ -315,29 +324,29 @@
             sock = await connect(
                 self.address,
                 self._connect_timeout,
-                unacknowledged=self._unacknowledged,
+                user_timeout_ms=self._unacknowledged,
             )
         finally:
             self.open -= sock is None
         if sock is None:
             return None
-        return Connection(sock, opened_at=trio.current_time())
+        return ClientConnection(sock, opened_at=trio.current_time())
 
-    def give_back(self, connection: Connection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """Keep a connection after a whole answer."""
         if connection.opened_at < self._trusted_since:
             self.discard(connection)
             return
-        connection.is_fresh = False
+        connection.is_new = False
         connection.used_at = trio.current_time()
         self._idle.append(connection)
 
-    def discard(self, connection: Connection) -> None:
+    def discard(self, connection: ClientConnection) -> None:
         """Close a connection."""
         connection.close()
         self.open -= 1
 
-    def distrust(self) -> None:
+    def invalidate(self) -> None:
         """Use no connection again that is open now.
 
         Something between the two ends may have lost track of them all: each
@@ -353,16 +362,16 @@
         for connection in idle:
             self.discard(connection)
 
-    def has_live(self) -> bool:
+    def has_open_connection(self) -> bool:
         """Whether any connection is in use, or idle and open."""
         idle = self._idle
-        self._idle = [one for one in idle if one.is_quiet()]
+        self._idle = [one for one in idle if one.is_usable()]
         for connection in idle:
             if connection not in self._idle:
                 self.discard(connection)
         return self.open > 0
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that were idle for too long."""
         oldest = trio.current_time() - self.max_idle
         idle = self._idle
@@ -371,7 +380,7 @@
             if connection.used_at < oldest:
                 self.discard(connection)
 
-    def _take_idle(self, max_idle: float) -> Connection | None:
+    def _take_idle(self, max_idle: float) -> ClientConnection | None:
         oldest = trio.current_time() - max_idle
         while self._idle:
             connection = self._idle.pop()
@@ -380,7 +389,7 @@
                 # older still; they may serve requests that can be repeated.
                 self._idle.append(connection)
                 return None
-            if connection.is_quiet():
+            if connection.is_usable():
                 return connection
             self.discard(connection)
         return None
--- a/libs/http/src/verbenamill_http/connection.py
+++ b/libs/http/src/verbenamill_http/connection.py
@@ -9,24 +9,24 @@
 import trio
 from httptools import HttpParserError, HttpParserUpgrade
 
-from verbenamill_http.messages import Broken, Event
+from verbenamill_http.messages import MessageEvent, ReadFailure
 from verbenamill_http.parsing import (
     RequestCollector,
     ResponseCollector,
-    too_long,
+    head_too_long,
 )
 
 #: Bytes read at a time; bounds what a connection keeps in memory.
 READ_SIZE = 64 * 1024
 
 
-class Source(Protocol):
+class EventSource(Protocol):
     """Where the events of a message come from."""
 
-    def ready(self) -> Event | None:
+    def receive_nowait(self) -> MessageEvent | None:
         """Next event that needs no waiting."""
 
-    async def receive(self) -> Event:
+    async def receive(self) -> MessageEvent:
         """Next event."""
 
 
@@ -48,31 +48,31 @@
         self.opened_at = opened_at
         self.is_reused = False
         self.used_at = opened_at
-        self.received = 0
+        self.received_bytes = 0
         self._stream = stream
         self._fd = stream.socket.fileno()
         self._max_head = max_head
         self._head_bytes = 0
         self._collector: RequestCollector | ResponseCollector | None = None
 
-    def serve(self) -> None:
+    def expect_requests(self) -> None:
         """Read requests from now on."""
         self._collector = RequestCollector(self._max_head)
 
-    def expect_answer(self, *, is_bodiless: bool) -> None:
+    def expect_response(self, *, is_bodiless: bool) -> None:
         """Read one answer from now on.
 
         :param is_bodiless: whether its head is all, as after HEAD.
         """
         self._head_bytes = 0
-        self.received = 0
+        self.received_bytes = 0
         self._collector = ResponseCollector(
             self._max_head,
             is_bodiless=is_bodiless,
         )
 
     @property
-    def is_between(self) -> bool:
+    def is_between_messages(self) -> bool:
         """Whether the last message is read and no further one has begun.
 
         After an answer, anything more belongs to no request of ours.
@@ -80,28 +80,28 @@
         collector = self._collector
         if collector is None:
             return True
-        return collector.is_between and not collector.events
+        return collector.is_between_messages and not collector.events
 
     @property
-    def has_ready(self) -> bool:
+    def has_buffered_event(self) -> bool:
         """Whether some event needs no waiting."""
         return self._collector is not None and bool(self._collector.events)
 
-    def ready(self) -> Event | None:
+    def receive_nowait(self) -> MessageEvent | None:
         """Next event that needs no waiting."""
         assert self._collector is not None
         events = self._collector.events
         return events.popleft() if events else None
 
-    async def receive(self) -> Event:
+    async def receive(self) -> MessageEvent:
         """Next event."""
         assert self._collector is not None
         events = self._collector.events
         while not events:
             data = await self._read()
             if not data:
-                return Broken('connection lost')
-            self.received += len(data)
+                return ReadFailure('connection lost')
+            self.received_bytes += len(data)
             fault = self._feed(data)
             if fault is not None:
                 events.append(fault)
@@ -131,15 +131,15 @@
             left = self.try_send(left)
         return left is not None
 
-    def is_gone(self) -> bool:
+    def is_closed_by_peer(self) -> bool:
         """Whether the other end has closed; reads nothing."""
         return bool(self._poll(POLLRDHUP))
 
-    def is_quiet(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the connection is open and nothing waits on it."""
         return not self._poll(POLLIN | POLLRDHUP)
 
-    def wake(self) -> None:
+    def interrupt_receive(self) -> None:
         """Have a task that waits to receive get :class:`Broken` at once.
 
         A task that has been woken by bytes already is not disturbed, so no
@@ -147,7 +147,7 @@
         """
         trio.lowlevel.notify_closing(self._fd)
 
-    def put_back(self, *events: Event) -> None:
+    def push_back(self, *events: MessageEvent) -> None:
         """Have events come once more, before all others."""
         assert self._collector is not None
         self._collector.events.extendleft(reversed(events))
@@ -158,7 +158,7 @@
         self._fd = -1
         self._stream.socket.close()
 
-    async def hang_up(self, grace: float) -> None:
+    async def close_gracefully(self, grace: float) -> None:
         """Tell the other end, and wait a bounded time until it has closed."""
         try:
             self._stream.socket.shutdown(SHUT_WR)
@@ -166,7 +166,7 @@
             return
         with trio.move_on_after(grace):
             while await self._read():
-                self.received = 0
+                self.received_bytes = 0
 
     async def _read(self) -> bytes:
         """Next bytes; none when the connection is lost.
@@ -191,7 +191,7 @@
         poller.register(self._fd, mask)
         return poller.poll(0)
 
-    def _feed(self, data: bytes) -> Broken | None:
+    def _feed(self, data: bytes) -> ReadFailure | None:
         collector = self._collector
         assert collector is not None
         if collector.is_in_head:
@@ -199,12 +199,12 @@
         try:
             collector.parser.feed_data(data)
         except HttpParserUpgrade:
-            return Broken('upgrade is refused', HTTPStatus.NOT_IMPLEMENTED)
+            return ReadFailure('upgrade is refused', HTTPStatus.NOT_IMPLEMENTED)
         except HttpParserError as error:
-            return Broken(str(error), HTTPStatus.BAD_REQUEST)
-        if collector.is_between or not collector.is_in_head:
+            return ReadFailure(str(error), HTTPStatus.BAD_REQUEST)
+        if collector.is_between_messages or not collector.is_in_head:
             self._head_bytes = 0
         # A head without end would fill the memory of this small VM.
         if self._head_bytes > self._max_head:
-            return too_long(self._max_head)
+            return head_too_long(self._max_head)
         return None
--- a/libs/http/src/verbenamill_http/exchanges.py
+++ b/libs/http/src/verbenamill_http/exchanges.py
@@ -15,7 +15,7 @@
 
     head: RequestHead
     body: bytes
-    arrived: float
+    received_at: float
 
 
 class Response(Struct, kw_only=True):
--- a/libs/http/src/verbenamill_http/messages.py
+++ b/libs/http/src/verbenamill_http/messages.py
@@ -36,7 +36,7 @@
     length: int | None = 0
 
 
-EMPTY = Framing(0)
+EMPTY_BODY = Framing(0)
 CHUNKED = Framing(None)
 
 
@@ -67,13 +67,13 @@
 
 
 @unique
-class End(Enum):
+class EndOfBody(Enum):
     """Marks the checked end of a body."""
 
     END = 'end'
 
 
-class Broken(Struct, frozen=True):
+class ReadFailure(Struct, frozen=True):
     """A connection that cannot be read any further.
 
     :param status: what to answer, if the fault is the sender's.
@@ -83,10 +83,10 @@
     status: HTTPStatus | None = None
 
 
-Event = RequestHead | ResponseHead | bytes | End | Broken
+MessageEvent = RequestHead | ResponseHead | bytes | EndOfBody | ReadFailure
 
 
-def header(headers: list[Header], name: bytes) -> bytes | None:
+def get_header(headers: list[Header], name: bytes) -> bytes | None:
     """First value of a header, by its name in lower case."""
     for known, value in headers:
         if known == name:
@@ -94,29 +94,29 @@
     return None
 
 
-def all_values(headers: list[Header], name: bytes) -> list[bytes]:
+def get_all_headers(headers: list[Header], name: bytes) -> list[bytes]:
     """All values of a header, by its name in lower case."""
     return [value for known, value in headers if known == name]
 
 
-def read_framing(headers: list[Header]) -> Framing:
+def parse_framing(headers: list[Header]) -> Framing:
     """How a message ends, by its headers."""
     for name, value in headers:
         if name == TRANSFER_ENCODING:
             return CHUNKED
         if name == CONTENT_LENGTH:
             return Framing(int(value))
-    return EMPTY
+    return EMPTY_BODY
 
 
-def end_to_end(headers: list[Header]) -> list[Header]:
+def end_to_end_headers(headers: list[Header]) -> list[Header]:
     """Headers that a proxy passes on.
 
     Hop-by-hop headers, those that ``Connection`` names, and our internal
     ones go: the next hop would take them for our own.
     """
     dropped = HOP_BY_HOP
-    named = header(headers, b'connection')
+    named = get_header(headers, b'connection')
     if named is not None and named.lower() not in _PLAIN_CONNECTION:
         names = (name.strip() for name in named.lower().split(b','))
         dropped = HOP_BY_HOP.union(names)
--- a/libs/http/src/verbenamill_http/parsing.py
+++ b/libs/http/src/verbenamill_http/parsing.py
@@ -7,13 +7,13 @@
 
 from verbenamill_http.messages import (
     FRAMING_HEADERS,
-    Broken,
-    End,
-    Event,
+    EndOfBody,
     Header,
+    MessageEvent,
+    ReadFailure,
     RequestHead,
     ResponseHead,
-    read_framing,
+    parse_framing,
 )
 
 _NO_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
@@ -27,18 +27,18 @@
     """
 
     def __init__(self, max_head: int) -> None:
-        self.events: deque[Event] = deque()
+        self.events: deque[MessageEvent] = deque()
         self._max_head = max_head
         self._head_size = 0
         self.headers: list[Header] = []
         self.is_in_head = True
-        self.is_between = True
+        self.is_between_messages = True
 
     def on_message_begin(self) -> None:
         self.headers = []
         self._head_size = 0
         self.is_in_head = True
-        self.is_between = False
+        self.is_between_messages = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         # Trailers come through here as well, after the head; they are
@@ -54,11 +54,11 @@
         if self._head_size <= self._max_head:
             self.events.append(head)
         else:
-            self.events.append(too_long(self._max_head))
+            self.events.append(head_too_long(self._max_head))
 
     def finish(self) -> None:
-        self.is_between = True
-        self.events.append(End.END)
+        self.is_between_messages = True
+        self.events.append(EndOfBody.END)
 
 
 class RequestCollector(_Collector):
@@ -83,7 +83,9 @@
         if self.parser.should_upgrade():
             # The parser takes no body behind an upgrade, whatever its
             # length says, so what follows cannot be told from a request.
-            fault = Broken('upgrade is refused', HTTPStatus.NOT_IMPLEMENTED)
+            fault = ReadFailure(
+                'upgrade is refused', HTTPStatus.NOT_IMPLEMENTED
+            )
             self.events.append(fault)
             return
         head = RequestHead(
@@ -91,7 +93,7 @@
             target=self._target,
             version=self.parser.get_http_version(),
             headers=self.headers,
-            framing=read_framing(self.headers),
+            framing=parse_framing(self.headers),
             keep_alive=self.parser.should_keep_alive(),
         )
         self.end_head(head)
@@ -121,7 +123,7 @@
         head = ResponseHead(
             status=status,
             headers=self.headers,
-            framing=read_framing(self.headers),
+            framing=parse_framing(self.headers),
             keep_alive=self.parser.should_keep_alive() or self._is_bodiless,
             is_framed=is_bodiless or not FRAMING_HEADERS.isdisjoint(names),
             is_bodiless=is_bodiless,
@@ -135,9 +137,9 @@
             self.finish()
 
 
-def too_long(max_head: int) -> Broken:
+def head_too_long(max_head: int) -> ReadFailure:
     """Fault of a head over the limit."""
-    return Broken(
+    return ReadFailure(
         f'head is longer than {max_head} bytes',
         HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
     )
--- a/libs/http/src/verbenamill_http/served.py
+++ b/libs/http/src/verbenamill_http/served.py
@@ -10,17 +10,17 @@
 
 from verbenamill_http.exchanges import Request, Response, ServerLimits
 from verbenamill_http.messages import (
-    EMPTY,
-    Broken,
-    End,
+    EMPTY_BODY,
+    EndOfBody,
     Framing,
+    ReadFailure,
     RequestHead,
     ResponseHead,
     encode_response,
-    header,
+    get_header,
 )
-from verbenamill_http.parsing import RequestCollector, too_long
-from verbenamill_http.sockets import unsent
+from verbenamill_http.parsing import RequestCollector, head_too_long
+from verbenamill_http.sockets import unacknowledged_bytes
 
 READ_SIZE = 64 * 1024
 #: Requests of one connection that are worked on at once; more wait unread.
@@ -38,16 +38,16 @@
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 _NO_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-_TOO_SLOW = Broken('the request is too slow', HTTPStatus.REQUEST_TIMEOUT)
-_TOO_LARGE = Broken(
+_TOO_SLOW = ReadFailure('the request is too slow', HTTPStatus.REQUEST_TIMEOUT)
+_TOO_LARGE = ReadFailure(
     'the body is too large',
     HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
 )
-_NO_MEMORY = Broken(
+_NO_MEMORY = ReadFailure(
     'too many request bodies are held',
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
-_STOPPING = Broken('the server stops', HTTPStatus.SERVICE_UNAVAILABLE)
+_STOPPING = ReadFailure('the server stops', HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class Serving(Protocol):
@@ -112,7 +112,7 @@
     @property
     def _has_begun(self) -> bool:
         """Whether part of a further request has come."""
-        return self._head is not None or not self._collector.is_between
+        return self._head is not None or not self._collector.is_between_messages
 
     async def serve(self) -> None:
         """Read requests and answer them until the connection ends."""
@@ -160,7 +160,7 @@
         if self.is_idle:
             if waited > limits.idle_timeout:
                 self.dismiss()
-        elif self._head is None and not self._collector.is_between:
+        elif self._head is None and not self._collector.is_between_messages:
             if now - self._arrived > limits.head_timeout:
                 self._is_dismissed = True
                 trio.lowlevel.notify_closing(self._sock)
@@ -219,9 +219,9 @@
         except OSError:
             return True
 
-    def _feed(self, data: bytes) -> Broken | None:
+    def _feed(self, data: bytes) -> ReadFailure | None:
         collector = self._collector
-        if collector.is_between:
+        if collector.is_between_messages:
             self._arrived = self.waits_since
         max_head = self._server.limits().max_head
         if collector.is_in_head:
@@ -229,13 +229,13 @@
         try:
             collector.parser.feed_data(data)
         except HttpParserUpgrade:
-            return Broken('upgrade is refused', HTTPStatus.NOT_IMPLEMENTED)
+            return ReadFailure('upgrade is refused', HTTPStatus.NOT_IMPLEMENTED)
         except HttpParserError as error:
-            return Broken(str(error), HTTPStatus.BAD_REQUEST)
-        if collector.is_between or not collector.is_in_head:
+            return ReadFailure(str(error), HTTPStatus.BAD_REQUEST)
+        if collector.is_between_messages or not collector.is_in_head:
             self._head_bytes = 0
         if self._head_bytes > max_head:
-            return too_long(max_head)
+            return head_too_long(max_head)
         return None
 
     def _take_events(self, nursery: trio.Nursery) -> None:
@@ -246,10 +246,10 @@
                 self._add_body(event, nursery)
             elif isinstance(event, RequestHead):
                 self._begin(event, nursery)
-            elif event is End.END:
+            elif event is EndOfBody.END:
                 self._finish_request(nursery)
             else:
-                assert isinstance(event, Broken)
+                assert isinstance(event, ReadFailure)
                 self._reject(nursery, event)
 
     def _begin(self, head: RequestHead, nursery: trio.Nursery) -> None:
@@ -263,7 +263,7 @@
         if length is not None and length > limits.max_body:
             self._reject(nursery, _TOO_LARGE)
             return
-        expected = header(head.headers, b'expect')
+        expected = get_header(head.headers, b'expect')
         if expected is not None and expected.lower() == b'100-continue':
             previous = self._last_turn
             turn = trio.Event()
@@ -310,7 +310,7 @@
         request = Request(
             head=head,
             body=b''.join(self._parts),
-            arrived=self._arrived,
+            received_at=self._arrived,
         )
         self._head = None
         self._parts = []
@@ -351,7 +351,7 @@
         if close or not sent:
             await self._end(sent=sent)
 
-    def _reject(self, nursery: trio.Nursery, fault: Broken) -> None:
+    def _reject(self, nursery: trio.Nursery, fault: ReadFailure) -> None:
         """Answer a message that cannot be read, behind all others."""
         self._is_ending = True
         self._drop_body()
@@ -362,7 +362,7 @@
 
     async def _answer_fault(
         self,
-        fault: Broken,
+        fault: ReadFailure,
         previous: trio.Event | None,
         turn: trio.Event,
     ) -> None:
@@ -385,7 +385,7 @@
         head = ResponseHead(
             status=response.status,
             headers=response.headers,
-            framing=Framing(length) if length else EMPTY,
+            framing=Framing(length) if length else EMPTY_BODY,
             keep_alive=True,
             is_bodiless=response.status in _NO_BODY,
         )
@@ -434,7 +434,7 @@
             except OSError:
                 self._scope.cancel()
             with trio.move_on_after(SEND_TIMEOUT):
-                while unsent(self._sock):
+                while unacknowledged_bytes(self._sock):
                     await trio.sleep(_LOOK)
             await trio.sleep(_LINGER)
         self._scope.cancel()
--- a/libs/http/src/verbenamill_http/server.py
+++ b/libs/http/src/verbenamill_http/server.py
@@ -13,7 +13,7 @@
 )
 from verbenamill_http.messages import RequestHead
 from verbenamill_http.served import ServedConnection
-from verbenamill_http.sockets import watch_peer
+from verbenamill_http.sockets import set_tcp_options
 
 __all__ = ('Handler', 'HttpServer', 'Request', 'Response', 'ServerLimits')
 
@@ -47,11 +47,11 @@
         handler: Handler,
         *,
         limits: Callable[[], ServerLimits],
-        on_fault: Callable[[BaseException], None],
+        on_error: Callable[[BaseException], None],
     ) -> None:
         self._handler = handler
         self._limits = limits
-        self._on_fault = on_fault
+        self._on_fault = on_error
         self._served: set[ServedConnection] = set()
         self._accepting: trio.CancelScope | None = None
         self._nursery: trio.Nursery | None = None
@@ -93,12 +93,12 @@
         finally:
             listener.close()
 
-    async def finish(
+    async def shut_down(
         self,
         *,
-        refuses_late: bool = True,
-        admits: Callable[[RequestHead], bool] = _admit_none,
-        keeps_open: Callable[[], bool] = _close_at_once,
+        reject_late: bool = True,
+        admit_late: Callable[[RequestHead], bool] = _admit_none,
+        keep_accepting: Callable[[], bool] = _close_at_once,
     ) -> None:
         """Take no further connection and wait until all have ended.
 
@@ -113,12 +113,12 @@
             connections are taken.
         """
         self.is_stopping = True
-        self._refuses_late = refuses_late
-        self._admits = admits
+        self._refuses_late = reject_late
+        self._admits = admit_late
         self._finishes_since = trio.current_time()
         for connection in self._served:
             connection.take_no_more()
-        while keeps_open():
+        while keep_accepting():
             self.dismiss_idle(_FRESH)
             await trio.sleep(_SWEEP / 8)
         if self._accepting is not None:
@@ -144,7 +144,7 @@
             sock.close()
             return
         sock.setblocking(False)
-        watch_peer(sock)
+        set_tcp_options(sock)
         connection = ServedConnection(sock, self)
         self._served.add(connection)
         nursery.start_soon(self._serve, connection)
--- a/libs/http/src/verbenamill_http/sockets.py
+++ b/libs/http/src/verbenamill_http/sockets.py
@@ -13,15 +13,15 @@
 #: partition a connection would hang for minutes otherwise. The kernel also
 #: ends a connection by it as soon as it has asked one question of keepalive
 #: in vain, so it leaves time for two: one packet may be lost.
-UNACKNOWLEDGED = 2500
+USER_TIMEOUT_MS = 2500
 #: Idle time before the kernel asks whether the other end is there, and pause
 #: between two such questions, in seconds; the least that the kernel takes.
-KEEPALIVE_IDLE = 1
-KEEPALIVE_PAUSE = 1
-KEEPALIVE_TRIES = 2
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 
 
-def watch_peer(sock: socket.socket, *, unacknowledged: int = 0) -> None:
+def set_tcp_options(sock: socket.socket, *, user_timeout_ms: int = 0) -> None:
     """Have the kernel end a connection whose other end is out of reach.
 
     :param unacknowledged: how long sent bytes may stay unacknowledged, in
@@ -30,18 +30,20 @@
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PAUSE)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_TRIES)
-    if unacknowledged:
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
+    )
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    if user_timeout_ms:
         sock.setsockopt(
             socket.IPPROTO_TCP,
             socket.TCP_USER_TIMEOUT,
-            unacknowledged,
+            user_timeout_ms,
         )
 
 
-def unsent(sock: socket.socket) -> int:
+def unacknowledged_bytes(sock: socket.socket) -> int:
     """Bytes that the other end has not acknowledged; 0 if nobody can tell."""
     count = array('i', [0])
     try:
@@ -55,7 +57,7 @@
     address: Address,
     timeout: float,
     *,
-    unacknowledged: int = UNACKNOWLEDGED,
+    user_timeout_ms: int = USER_TIMEOUT_MS,
 ) -> socket.socket | None:
     """Open a connection; ``None`` if that fails or takes too long.
 
@@ -67,7 +69,7 @@
     connected = False
     try:
         sock.setblocking(False)
-        watch_peer(sock, unacknowledged=unacknowledged)
+        set_tcp_options(sock, user_timeout_ms=user_timeout_ms)
         connected = await _finish_connecting(sock, address, timeout)
     except OSError:
         connected = False
--- a/libs/http/tests/test_client.py
+++ b/libs/http/tests/test_client.py
@@ -7,12 +7,16 @@
 import trio
 
 from verbenamill_http.addresses import parse_address
-from verbenamill_http.client import Answer, Fault, Pool
-from verbenamill_http.messages import header
+from verbenamill_http.client import (
+    ClientResponse,
+    ConnectionPool,
+    ExchangeFailure,
+)
+from verbenamill_http.messages import get_header
 from verbenamill_http.sockets import (
-    KEEPALIVE_IDLE,
-    KEEPALIVE_PAUSE,
-    UNACKNOWLEDGED,
+    KEEPALIVE_IDLE_S,
+    KEEPALIVE_INTERVAL_S,
+    USER_TIMEOUT_MS,
 )
 
 REQUEST = b'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
@@ -70,7 +74,7 @@
                 0,
             )
             port = listeners[0].socket.getsockname()[1]
-            pool = Pool(
+            pool = ConnectionPool(
                 parse_address(f'127.0.0.1:{port}'),
                 limit=4,
                 max_idle=5,
@@ -84,15 +88,17 @@
 
 
 async def exchange(pool, request=REQUEST, id=b'1'):
-    connection = await pool.take()
+    connection = await pool.acquire()
     result = await connection.exchange(
         request,
-        is_ours=lambda head: header(head.headers, b'id') in {None, id},
+        matches_request=lambda head: (
+            get_header(head.headers, b'id') in {None, id}
+        ),
         is_bodiless=False,
         max_body=1000,
     )
-    if isinstance(result, Answer) and result.is_reusable:
-        pool.give_back(connection)
+    if isinstance(result, ClientResponse) and result.is_reusable:
+        pool.release(connection)
     else:
         pool.discard(connection)
     return result
@@ -133,10 +139,13 @@
 @pytest.mark.parametrize(
     ('says', 'fault'),
     [
-        ((b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut',), Fault.LOST),
-        ((b'hello\r\n\r\n',), Fault.GARBLED),
-        ((answer_with(b'1', b'x' * 1001),), Fault.GARBLED),
-        ((), Fault.LOST),
+        (
+            (b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut',),
+            ExchangeFailure.CONNECTION_LOST,
+        ),
+        ((b'hello\r\n\r\n',), ExchangeFailure.MALFORMED),
+        ((answer_with(b'1', b'x' * 1001),), ExchangeFailure.MALFORMED),
+        ((), ExchangeFailure.CONNECTION_LOST),
     ],
 )
 def test_what_is_not_whole_is_no_answer(says, fault):
@@ -151,7 +160,7 @@
     # Without a length only the end of the connection tells the end of the
     # body. A reset is no such end; taken for one, a cut photo looks whole.
     async def scene(pool):
-        assert await exchange(pool) is Fault.LOST
+        assert await exchange(pool) is ExchangeFailure.CONNECTION_LOST
 
     play(Far(b'HTTP/1.1 200 OK\r\n\r\nhalf a photo', resets=True), scene)
 
@@ -176,13 +185,13 @@
         with socket.socket() as closed:
             closed.bind(('127.0.0.1', 0))
             port = closed.getsockname()[1]
-        gone = Pool(
+        gone = ConnectionPool(
             parse_address(f'127.0.0.1:{port}'),
             limit=1,
             max_idle=1,
             connect_timeout=1,
         )
-        assert await gone.take() is None
+        assert await gone.acquire() is None
         assert gone.open == 0
 
     play(Far(), scene)
@@ -190,12 +199,12 @@
 
 def test_the_limit_holds_and_distrust_ends_kept_connections():
     async def scene(pool):
-        taken = [await pool.take() for _ in range(5)]
+        taken = [await pool.acquire() for _ in range(5)]
         assert taken[4] is None
         assert pool.open == 4
         for connection in taken[:4]:
-            pool.give_back(connection)
-        pool.distrust()
+            pool.release(connection)
+        pool.invalidate()
         assert pool.open == 0
 
     play(Far(reads=True), scene)
@@ -206,7 +215,7 @@
     # other end is there. With a bound on unacknowledged bytes, the kernel ends
     # the connection by that bound alone, once a question is out: if it passes
     # before the second one, a single lost packet ends a run that is well.
-    assert UNACKNOWLEDGED > 1000 * (KEEPALIVE_IDLE + KEEPALIVE_PAUSE)
+    assert USER_TIMEOUT_MS > 1000 * (KEEPALIVE_IDLE_S + KEEPALIVE_INTERVAL_S)
 
 
 def test_old_connections_do_not_block_a_new_one():
@@ -215,19 +224,19 @@
     # other end would seem to take no connection.
     async def main():
         with socket.create_server(('127.0.0.1', 0)) as listener:
-            pool = Pool(
+            pool = ConnectionPool(
                 parse_address(f'127.0.0.1:{listener.getsockname()[1]}'),
                 limit=3,
                 max_idle=20,
                 connect_timeout=5,
             )
-            for connection in [await pool.take() for _ in range(3)]:
-                pool.give_back(connection)
+            for connection in [await pool.acquire() for _ in range(3)]:
+                pool.release(connection)
             await trio.sleep(0.01)
             assert not pool.is_full
-            fresh = await pool.take(max_idle=0)
+            fresh = await pool.acquire(max_idle=0)
             assert fresh is not None
-            assert fresh.is_fresh
+            assert fresh.is_new
             assert pool.open == 3
             pool.discard(fresh)
             pool.close_idle()
--- a/libs/http/tests/test_server.py
+++ b/libs/http/tests/test_server.py
@@ -42,7 +42,7 @@
         self.server = HttpServer(
             self.handle,
             limits=lambda: limits,
-            on_fault=self.faults.append,
+            on_error=self.faults.append,
         )
         self.nursery = nursery
         self.listener = listen(Address('127.0.0.1', 0))
@@ -202,7 +202,7 @@
         await busy.send_all(get(b'/slow'))
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             answer = await read_all(busy)
             assert answer.endswith(b'/slow')
             assert b'connection: close' in answer
@@ -224,7 +224,7 @@
         await site.has_handled(b'/held')
         await site.has_handled(b'/quick')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             await trio.sleep(0.05)
             await caller.send_all(get(b'/late'))
             await trio.sleep(0.05)
@@ -250,7 +250,7 @@
         await caller.send_all(request[:20])
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             await trio.sleep(0.05)
             await caller.send_all(request[20:] + get(b'/late'))
             answer = await read_all(caller)
@@ -273,7 +273,7 @@
         )
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             await trio.sleep(1)
             await caller.send_all(b'2')
             answer = await read_all(caller)
@@ -297,7 +297,7 @@
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                partial(site.server.finish, refuses_late=False),
+                partial(site.server.shut_down, reject_late=False),
             )
             await trio.sleep(1)
             await caller.send_all(b'2')
@@ -318,7 +318,7 @@
         await caller.send_all(get(b'/large'))
         await site.has_handled(b'/large')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             await trio.sleep(1)
             head, _, body = (await read_all(caller)).partition(b'\r\n\r\n')
             assert len(body) == LARGE
@@ -433,7 +433,7 @@
             caller.send(get(b'/long'))
             await site.has_handled(b'/long')
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(site.server.finish)
+                nursery.start_soon(site.server.shut_down)
                 received = caller.recv(1000)
                 await trio.sleep(1.5)
                 caller.send(get(b'/late'))
@@ -484,7 +484,7 @@
         await caller.send_all(EXPECTS[:20])
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             await trio.sleep(1)
             await caller.send_all(EXPECTS[20:])
             assert (await read_all(caller)).startswith(b'HTTP/1.1 503')
@@ -502,7 +502,7 @@
         await caller.send_all(get(b'/held') + b'GET /next HT')
         await site.has_handled(b'/held')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.finish)
+            nursery.start_soon(site.server.shut_down)
             await trio.sleep(3 * LIMITS.head_timeout)
             site.released.set()
             assert (await read_all(caller)).endswith(b'/held')
--- a/libs/mesh/src/verbenamill_mesh/reader.py
+++ b/libs/mesh/src/verbenamill_mesh/reader.py
@@ -135,7 +135,7 @@
     def _compare_end(self, page: LogPage) -> bool:
         offset = self._configuration.state.offset
         if page.end <= offset and not page.entries:
-            log(Event.LOG_SHRANK, end=page.end, offset=offset)
+            log(Event.LOG_TRUNCATED, end=page.end, offset=offset)
             return False
         if offset + 1 >= page.end:
             self._stats.ready = True
--- a/libs/runtime/src/verbenamill_runtime/settings.py
+++ b/libs/runtime/src/verbenamill_runtime/settings.py
@@ -24,7 +24,7 @@
     TestSettings,
     VmSettings,
 )
-from verbenamill_telemetry.forms import LogFormat, LogLevel
+from verbenamill_telemetry.log_settings import LogFormat, LogLevel
 
 __all__ = (
     'CallLimits',
--- a/libs/runtime/src/verbenamill_runtime/settings_types.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_types.py
@@ -16,7 +16,7 @@
     as_duration,
     as_integer,
 )
-from verbenamill_telemetry.forms import LogFormat, LogLevel
+from verbenamill_telemetry.log_settings import LogFormat, LogLevel
 
 
 class VmSettings(Struct, frozen=True, kw_only=True):
--- a/libs/sidecar/src/verbenamill_sidecar/announcements.py
+++ b/libs/sidecar/src/verbenamill_sidecar/announcements.py
@@ -63,7 +63,11 @@
                 return refusal(HTTPStatus.BAD_REQUEST, told.reason)
             case LeaveAnnouncement():
                 known = self._own.leave(told)
-                log(Event.UPSTREAM_LEFT, instance=told.instance, known=known)
+                log(
+                    Event.UPSTREAM_DEREGISTERED,
+                    instance=told.instance,
+                    known=known,
+                )
                 await self._remember(REMEMBER_TIME)
                 return _accepted()
             case Heartbeat():
@@ -81,7 +85,7 @@
         belief = self._own.take(beat)
         if belief is not Belief.KNOWN:
             log(
-                Event.UPSTREAM_TOLD,
+                Event.UPSTREAM_HEARTBEAT,
                 instance=beat.instance,
                 service=beat.service,
                 version=beat.version,
--- a/libs/sidecar/src/verbenamill_sidecar/call.py
+++ b/libs/sidecar/src/verbenamill_sidecar/call.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct
 
-from verbenamill_http.client import Answer
-from verbenamill_http.messages import Header, header
+from verbenamill_http.client import ClientResponse
+from verbenamill_http.messages import Header, get_header
 from verbenamill_model.typing import ServiceName
 from verbenamill_policy.fingerprints import Fingerprint, take_fingerprint
 from verbenamill_policy.limits import NamedLimit
@@ -56,7 +56,7 @@
         """What it is known by when it comes again."""
         return take_fingerprint(
             method=self.method,
-            host=header(self.headers, b'host') or b'',
+            host=get_header(self.headers, b'host') or b'',
             target=self.target,
             caller=self.origin,
             body=self.body,
@@ -98,7 +98,7 @@
     """
 
     fate: Fate
-    answer: Answer | None = None
+    answer: ClientResponse | None = None
     reason: str = ''
     detail: str = ''
     wait: float = 0
--- a/libs/sidecar/src/verbenamill_sidecar/crashing.py
+++ b/libs/sidecar/src/verbenamill_sidecar/crashing.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from verbenamill_http.client import Pool
+from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import UpstreamState
 from verbenamill_policy.fingerprints import Fingerprint
 from verbenamill_policy.heartbeats import UpstreamRegister
@@ -45,7 +45,7 @@
     def __init__(
         self,
         register: UpstreamRegister,
-        pool: Pool,
+        pool: ConnectionPool,
         *,
         lose: Callable[[UpstreamRecord], None],
         in_hand: Callable[[], Iterable[Fingerprint]],
@@ -141,16 +141,16 @@
     async def _is_alive(self) -> bool:
         if self._pool.is_full:
             return True
-        connection = await self._pool.take(max_idle=0)
+        connection = await self._pool.acquire(max_idle=0)
         if connection is None:
             return False
-        if not await connection.is_closed_within(_PROXY_TIME):
-            self._pool.give_back(connection)
+        if not await connection.closes_within(_PROXY_TIME):
+            self._pool.release(connection)
             return True
         # A full upstream may close a new connection as well, but not all
         # others at the same time.
         self._pool.discard(connection)
-        return self._pool.has_live()
+        return self._pool.has_open_connection()
 
     def _has_left(self, upstream: UpstreamRecord) -> bool:
         """Whether it said that it ends; what it cuts then, no request did."""
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from verbenamill_http.addresses import parse_address
-from verbenamill_http.messages import RequestHead, header
+from verbenamill_http.messages import RequestHead, get_header
 from verbenamill_http.server import Handler, HttpServer, ServerLimits
 from verbenamill_http.sockets import listen
 from verbenamill_model.typing import UpstreamState
@@ -243,12 +243,12 @@
         self._callers = HttpServer(
             ingress.handle,
             limits=self._caller_limits,
-            on_fault=_tell_fault,
+            on_error=_tell_fault,
         )
         self._daemons = HttpServer(
             passed_on.handle,
             limits=self._daemon_limits,
-            on_fault=_tell_fault,
+            on_error=_tell_fault,
         )
         return (
             self._callers,
@@ -322,21 +322,21 @@
                 nursery.start_soon(self._registrar.take_leave, _FAREWELL)
                 nursery.start_soon(self._finish_callers)
                 # The owner refuses all by now, in words that a daemon knows.
-                await self._daemons.finish(refuses_late=False)
+                await self._daemons.shut_down(reject_late=False)
         if self._own.in_hand:
             self._own.give_up()
             await trio.sleep(_LAST_ANSWERS)
 
     async def _finish_callers(self) -> None:
         """Serve to its end what is in hand, with the calls that it makes."""
-        await self._callers.finish(
-            admits=self._is_nested,
-            keeps_open=lambda: self._own.in_hand > 0,
+        await self._callers.shut_down(
+            admit_late=self._is_nested,
+            keep_accepting=lambda: self._own.in_hand > 0,
         )
 
     def _is_nested(self, head: RequestHead) -> bool:
         """Whether a request is a call of one that the own upstream runs."""
-        id = header(head.headers, self._context.names.request_id)
+        id = get_header(head.headers, self._context.names.request_id)
         return id is not None and self._own.find_parent(id) is not None
 
     def _tell_upstream(self) -> None:
@@ -438,7 +438,7 @@
     return HttpServer(
         handler,
         limits=lambda: _DEFAULTS,
-        on_fault=_tell_fault,
+        on_error=_tell_fault,
     )
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/hop.py
+++ b/libs/sidecar/src/verbenamill_sidecar/hop.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Struct
 
-from verbenamill_http.client import Answer
-from verbenamill_http.messages import Header, end_to_end, header
+from verbenamill_http.client import ClientResponse
+from verbenamill_http.messages import Header, end_to_end_headers, get_header
 from verbenamill_http.server import Response
 from verbenamill_model.typing import (
     RouteName,
@@ -105,7 +105,7 @@
 
 def read_hop(headers: list[Header]) -> HopCall | None:
     """What a daemon tells of a request; ``None`` if it is none of ours."""
-    told = header(headers, CALL_HEADER)
+    told = get_header(headers, CALL_HEADER)
     if told is None:
         return None
     try:
@@ -142,14 +142,14 @@
         return Response(status=status, headers=[told])
     return Response(
         status=answer.status,
-        headers=[*end_to_end(answer.headers), told],
+        headers=[*end_to_end_headers(answer.headers), told],
         body=answer.body,
     )
 
 
-def read_outcome(answer: Answer) -> Outcome | None:
+def read_outcome(answer: ClientResponse) -> Outcome | None:
     """What an owner's reply says; ``None`` if it is no owner's."""
-    told = header(answer.headers, OWNER_HEADER)
+    told = get_header(answer.headers, OWNER_HEADER)
     if told is None:
         return None
     try:
@@ -173,6 +173,6 @@
         knows_limit=report.knows_limit,
     )
     if report.fate is Fate.ANSWERED:
-        answer.headers = end_to_end(answer.headers)
+        answer.headers = end_to_end_headers(answer.headers)
         outcome.answer = answer
     return outcome
--- a/libs/sidecar/src/verbenamill_sidecar/in_band.py
+++ b/libs/sidecar/src/verbenamill_sidecar/in_band.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
-from verbenamill_http.client import Answer
-from verbenamill_http.messages import all_values, header
+from verbenamill_http.client import ClientResponse
+from verbenamill_http.messages import get_all_headers, get_header
 from verbenamill_policy.limits import read_rate
 from verbenamill_sidecar.protocol import HeaderNames
 
@@ -29,20 +29,20 @@
 _NOTHING = InBand()
 
 
-def read_in_band(answer: Answer, names: HeaderNames) -> InBand:
+def read_in_band(answer: ClientResponse, names: HeaderNames) -> InBand:
     """Read an answer to a request that names the upstream it is for.
 
     Another upstream that has the address by now says 421. A success without
     a seal is nobody's, and a failure may come from something in between, so
     neither shows that a limit has ended.
     """
-    is_sealed = header(answer.headers, names.seal) is not None
+    is_sealed = get_header(answer.headers, names.seal) is not None
     is_foreign = not is_sealed and answer.status < _FIRST_FAILURE
     if is_foreign or answer.status == _MISDIRECTED:
         return _NOTHING
-    told = all_values(answer.headers, names.limit)
+    told = get_all_headers(answer.headers, names.limit)
     return InBand(
         limit=read_rate(told),
         names_none=is_sealed and not told and answer.status < _SERVER_ERROR,
-        is_leaving=_YES in all_values(answer.headers, names.leaving),
+        is_leaving=_YES in get_all_headers(answer.headers, names.leaving),
     )
--- a/libs/sidecar/src/verbenamill_sidecar/ingress.py
+++ b/libs/sidecar/src/verbenamill_sidecar/ingress.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from verbenamill_http.messages import end_to_end
+from verbenamill_http.messages import end_to_end_headers
 from verbenamill_http.server import Request, Response
 from verbenamill_model.typing import ServiceName
 from verbenamill_policy.budget import RetryBudget
@@ -284,7 +284,7 @@
                 self._time(call)
             return Response(
                 status=answer.status,
-                headers=end_to_end(answer.headers),
+                headers=end_to_end_headers(answer.headers),
                 body=answer.body,
             )
         if tries.may_have_run:
--- a/libs/sidecar/src/verbenamill_sidecar/linking.py
+++ b/libs/sidecar/src/verbenamill_sidecar/linking.py
@@ -5,12 +5,17 @@
 import trio
 
 from verbenamill_http.addresses import Address
-from verbenamill_http.client import Answer, Connection, Fault, Pool
+from verbenamill_http.client import (
+    ClientConnection,
+    ClientResponse,
+    ConnectionPool,
+    ExchangeFailure,
+)
 from verbenamill_http.messages import (
     Framing,
     ResponseHead,
     encode_request,
-    header,
+    get_header,
 )
 from verbenamill_policy.members import UpstreamRecord
 from verbenamill_sidecar.call import Call
@@ -35,13 +40,13 @@
     """
 
     def __init__(self, address: Address, names: HeaderNames) -> None:
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             address,
             limit=MAX_CONNECTIONS,
             max_idle=MAX_IDLE,
             connect_timeout=CONNECT_TIMEOUT,
             # An upstream may answer before it reads a long body.
-            unacknowledged=0,
+            user_timeout_ms=0,
         )
         self._names = names
 
@@ -49,20 +54,22 @@
         self,
         call: Call,
         upstream: UpstreamRecord,
-        connection: Connection,
-    ) -> Answer | Fault:
+        connection: ClientConnection,
+    ) -> ClientResponse | ExchangeFailure:
         """Send a request on a connection, and read its answer."""
-        result: Answer | Fault = Fault.LOST
+        result: ClientResponse | ExchangeFailure = (
+            ExchangeFailure.CONNECTION_LOST
+        )
         try:
             result = await connection.exchange(
                 self._encode(call, upstream),
-                is_ours=partial(self._is_ours, call.id),
+                matches_request=partial(self._is_ours, call.id),
                 is_bodiless=call.method == b'HEAD',
                 max_body=MAX_ANSWER,
             )
         finally:
-            if isinstance(result, Answer) and result.is_reusable:
-                self.pool.give_back(connection)
+            if isinstance(result, ClientResponse) and result.is_reusable:
+                self.pool.release(connection)
             else:
                 self.pool.discard(connection)
         return result
@@ -90,7 +97,7 @@
         One to an earlier request on the connection may come late. Passed
         on, a caller would get what somebody else asked for.
         """
-        told = header(head.headers, self._names.request_id)
+        told = get_header(head.headers, self._names.request_id)
         return told is None or not id or told == id
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/liveness.py
+++ b/libs/sidecar/src/verbenamill_sidecar/liveness.py
@@ -43,7 +43,7 @@
             await trio.sleep_until(due)
             now = trio.current_time()
             if now - due >= HELD_UP:
-                log(Event.HELD_UP, ms=int((now - due) * 1000))
+                log(Event.PROCESS_STALLED, ms=int((now - due) * 1000))
                 self._awake_since = now
             for peer in self._peers.to_watch():
                 self._look_at(peer, now)
--- a/libs/sidecar/src/verbenamill_sidecar/owner.py
+++ b/libs/sidecar/src/verbenamill_sidecar/owner.py
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from verbenamill_http.addresses import Address
-from verbenamill_http.client import Answer, Fault
-from verbenamill_http.messages import header
+from verbenamill_http.client import ClientResponse, ExchangeFailure
+from verbenamill_http.messages import get_header
 from verbenamill_model.typing import (
     UpstreamState,
     VersionName,
@@ -181,7 +181,7 @@
 
     def sweep(self) -> None:
         """Close connections that were idle for long."""
-        self._pool.sweep()
+        self._pool.close_expired()
         self.limits.share()
 
     async def run(
@@ -259,7 +259,7 @@
             self._admission.shed_all()
             self._admission = Admission(slots=upstream.slots)
             self.limits.begin(self._admission)
-            self._pool.distrust()
+            self._pool.invalidate()
             self.counts.begin(f'{upstream.instance}/{upstream.born}')
         self._admission.slots = upstream.slots
         if upstream.state is not UpstreamState.READY:
@@ -409,10 +409,10 @@
             self._admission.count_unsent(trio.current_time())
             return not_run('the deadline has passed')
         max_idle = max_idle_of(call)
-        fault = Fault.LOST
+        fault = ExchangeFailure.CONNECTION_LOST
         was_sent = False
         for _ in range(2):
-            connection = await self._pool.take(max_idle=max_idle)
+            connection = await self._pool.acquire(max_idle=max_idle)
             if connection is None and not was_sent:
                 self._admission.count_unsent(trio.current_time())
                 return self._unreachable(upstream)
@@ -424,8 +424,8 @@
             self.limits.counts.sent += self._admission.is_paced
             result = await self._link.exchange(call, upstream, connection)
             took = trio.current_time() - began
-            was_kept = not connection.is_fresh
-            if isinstance(result, Answer):
+            was_kept = not connection.is_new
+            if isinstance(result, ClientResponse):
                 self.crashes.see_answer(began)
                 self._hear(upstream, result, began)
                 return self._conclude(call, upstream, result, took)
@@ -433,11 +433,11 @@
             # on it then; for a request that must not be repeated, only a
             # send that the kernel refused proves that.
             fault = result
-            was_sent |= fault is not Fault.UNSENT
-            is_safe = fault is Fault.UNSENT or call.is_idempotent
+            was_sent |= fault is not ExchangeFailure.NOT_SENT
+            is_safe = fault is ExchangeFailure.NOT_SENT or call.is_idempotent
             if not (was_kept and is_safe and took < _WAS_DEAD):
                 break
-        if fault is Fault.GARBLED:
+        if fault is ExchangeFailure.MALFORMED:
             self._count(call, failed=True, took=None)
         else:
             self.counts.add_lost(call.route.name)
@@ -448,7 +448,7 @@
     def _hear(
         self,
         upstream: UpstreamRecord,
-        answer: Answer,
+        answer: ClientResponse,
         asked_at: float,
     ) -> None:
         """Take in what an answer says of the upstream itself."""
@@ -464,10 +464,10 @@
         self,
         call: Call,
         upstream: UpstreamRecord,
-        fault: Fault,
+        fault: ExchangeFailure,
     ) -> Outcome:
         """What became of a request that was sent and not answered."""
-        if fault is Fault.GARBLED:
+        if fault is ExchangeFailure.MALFORMED:
             return unknown('the answer was garbled')
         crash = await self.crashes.explain(call, upstream)
         if crash is None:
@@ -478,7 +478,7 @@
         self,
         call: Call,
         upstream: UpstreamRecord,
-        answer: Answer,
+        answer: ClientResponse,
         took: float,
     ) -> Outcome:
         names = self._context.names
@@ -486,7 +486,7 @@
             # Somebody else has the address now, until a heartbeat says more.
             self._lose(upstream)
             return not_run('another upstream has the address')
-        if header(answer.headers, names.not_run) is not None:
+        if get_header(answer.headers, names.not_run) is not None:
             # It refuses although it has free slots by our count, so there
             # is no queue to wait for; the next may be taken, here or
             # elsewhere.
@@ -495,7 +495,7 @@
                 reached=True,
                 wait=_NO_QUEUE,
             )
-        sealed = header(answer.headers, names.seal) is not None
+        sealed = get_header(answer.headers, names.seal) is not None
         if answer.status < _FIRST_FAILURE and not sealed:
             self._count(call, failed=True, took=None)
             return unknown('the answer bears no seal')
--- a/libs/sidecar/src/verbenamill_sidecar/passed_on.py
+++ b/libs/sidecar/src/verbenamill_sidecar/passed_on.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from verbenamill_http.messages import end_to_end, header
+from verbenamill_http.messages import end_to_end_headers, get_header
 from verbenamill_http.server import Request, Response
 from verbenamill_policy.routes import Route, Split
 from verbenamill_policy.transit import TransitTimes
@@ -65,12 +65,12 @@
 
     def _other(self, request: Request) -> Response:
         headers = request.head.headers
-        if header(headers, FETCH_HEADER) is not None:
+        if get_header(headers, FETCH_HEADER) is not None:
             return Response(
                 status=HTTPStatus.OK,
                 body=encode_snapshot(self._snapshot()),
             )
-        if header(headers, CALL_HEADER) is not None:
+        if get_header(headers, CALL_HEADER) is not None:
             # A daemon of another version of the program.
             outcome = not_run('the headers between daemons cannot be read')
             outcome.load = self._own.load
@@ -78,7 +78,7 @@
         return refusal(HTTPStatus.BAD_REQUEST, 'this port is for daemons')
 
     def _make_call(self, request: Request, hop: HopCall) -> Call:
-        arrived = request.arrived - self._find_delay(request, hop)
+        arrived = request.received_at - self._find_delay(request, hop)
         route = Route(
             name=hop.route,
             host='',
@@ -96,7 +96,7 @@
             service=hop.service,
             method=request.head.method,
             target=request.head.target,
-            headers=end_to_end(request.head.headers),
+            headers=end_to_end_headers(request.head.headers),
             body=request.body,
             origin=hop.origin.encode('latin-1'),
             arrived=arrived,
@@ -113,13 +113,13 @@
         return self._transit.add(
             hop.sender,
             sent=hop.sent / 1000,
-            received=request.arrived,
+            received=request.received_at,
         )
 
     def _tell_broken_off(self, hop: HopCall, call: Call) -> None:
         elapsed = trio.current_time() - call.arrived
         log(
-            Event.RUN_BROKEN_OFF,
+            Event.RUN_ABORTED,
             request=hop.id,
             route=hop.route,
             ms=int(elapsed * 1000),
--- a/libs/sidecar/src/verbenamill_sidecar/passing_on.py
+++ b/libs/sidecar/src/verbenamill_sidecar/passing_on.py
@@ -2,7 +2,11 @@
 
 import trio
 
-from verbenamill_http.client import Answer, Connection, Fault
+from verbenamill_http.client import (
+    ClientConnection,
+    ClientResponse,
+    ExchangeFailure,
+)
 from verbenamill_http.messages import Framing, encode_request
 from verbenamill_policy.members import UpstreamRecord
 from verbenamill_sidecar.call import Call, Outcome, not_run, unknown
@@ -28,7 +32,7 @@
     """
     if peer.pool.is_full:
         return not_run('too many requests wait for the owner')
-    connection = await peer.pool.take(
+    connection = await peer.pool.acquire(
         max_idle=peer.max_idle(
             trio.current_time(),
             is_idempotent=call.is_idempotent,
@@ -45,33 +49,33 @@
 async def _exchange(
     call: Call,
     peer: Peer,
-    connection: Connection,
+    connection: ClientConnection,
     data: bytes,
 ) -> Outcome:
-    was_kept = not connection.is_fresh
-    result: Answer | Fault = Fault.LOST
+    was_kept = not connection.is_new
+    result: ClientResponse | ExchangeFailure = ExchangeFailure.CONNECTION_LOST
     try:
         result = await connection.exchange(
             data,
-            is_ours=_is_any,
+            matches_request=_is_any,
             is_bodiless=call.method == b'HEAD',
             max_body=MAX_ANSWER,
         )
     finally:
-        if isinstance(result, Answer) and result.is_reusable:
-            peer.pool.give_back(connection)
+        if isinstance(result, ClientResponse) and result.is_reusable:
+            peer.pool.release(connection)
         else:
             peer.pool.discard(connection)
-    if isinstance(result, Answer):
+    if isinstance(result, ClientResponse):
         peer.hear()
         outcome = read_outcome(result)
         return outcome or unknown('the answer is no daemon’s')
-    if result is Fault.UNSENT:
+    if result is ExchangeFailure.NOT_SENT:
         # The daemon has closed its end, as a restarted one has.
-        peer.pool.distrust()
+        peer.pool.invalidate()
         return not_run('the owner closed the connection')
     if was_kept:
-        peer.pool.distrust()
+        peer.pool.invalidate()
     return unknown('the connection to the owner broke')
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/peers.py
+++ b/libs/sidecar/src/verbenamill_sidecar/peers.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from verbenamill_http.addresses import parse_address
-from verbenamill_http.client import Pool
+from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import ServiceName, UpstreamState, VmId
 from verbenamill_policy.limits import NamedLimit
 from verbenamill_policy.members import (
@@ -87,7 +87,7 @@
             availability_zone=record.availability_zone,
             slots=1 if upstream is None else upstream.slots,
         )
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             parse_address(record.calls),
             limit=MAX_CONNECTIONS,
             max_idle=MAX_IDLE,
@@ -191,7 +191,7 @@
         No request that it may be running is broken off: silence does not tell
         a daemon that is gone from one that is slow or behind a full link. If
         it is gone, the kernel ends the connections (see
-        :func:`~verbenamill_http.sockets.watch_peer`).
+        :func:`~verbenamill_http.sockets.set_tcp_options`).
 
         :param awake_since: end of the last standstill of this process. Signs
             of life may lie unread at that time, and nobody was asked.
@@ -233,7 +233,7 @@
 
     def restarted(self) -> None:
         """Another process is there: what waits for the one before is lost."""
-        self.pool.distrust()
+        self.pool.invalidate()
         self.owner.down_until = 0
         for waiter in list(self._waiting):
             waiter.doubt(float('inf'))
@@ -299,7 +299,7 @@
     def sweep(self) -> None:
         """Close connections that were idle for long."""
         for peer in self._peers.values():
-            peer.pool.sweep()
+            peer.pool.close_expired()
 
     def close(self) -> None:
         """Close the connections that nobody uses."""
--- a/libs/sidecar/src/verbenamill_sidecar/reading.py
+++ b/libs/sidecar/src/verbenamill_sidecar/reading.py
@@ -5,8 +5,8 @@
 from verbenamill_http.messages import (
     Header,
     RequestHead,
-    end_to_end,
-    header,
+    end_to_end_headers,
+    get_header,
 )
 from verbenamill_http.server import Request, Response
 from verbenamill_model.typing import ServiceName
@@ -44,12 +44,14 @@
                 0,
                 self._context.random,
             )
-        route = table.find(header(head.headers, b'host') or b'', head.target)
+        route = table.find(
+            get_header(head.headers, b'host') or b'', head.target
+        )
         if route is None:
             self._reject(head, _NOT_FOUND)
             return refusal(HTTPStatus.NOT_FOUND, _NOT_FOUND)
-        arrived = request.arrived
-        id = header(head.headers, names.request_id) or b''
+        arrived = request.received_at
+        id = get_header(head.headers, names.request_id) or b''
         parent = self._context.own.find_parent(id)
         if parent is not None:
             self._note_nested(parent, route)
@@ -85,18 +87,20 @@
         """Headers that go on; those that we set are not believed."""
         names = self._context.names
         own = (names.deadline, names.instance, names.caller, b'expect')
-        return [pair for pair in end_to_end(headers) if pair[0] not in own]
+        return [
+            pair for pair in end_to_end_headers(headers) if pair[0] not in own
+        ]
 
     def _told_ms(self, head: RequestHead) -> int | None:
         """Time that the caller gives, in milliseconds."""
-        told = header(head.headers, self._context.names.deadline)
+        told = get_header(head.headers, self._context.names.deadline)
         if told is None or not told.isdigit():
             return None
         return int(told[:12])
 
     def _reject(self, head: RequestHead, reason: str) -> None:
         names = self._context.names
-        id = header(head.headers, names.request_id) or b''
+        id = get_header(head.headers, names.request_id) or b''
         self._context.stats.count(ServiceName(''), 'rejected')
         log(
             Event.CALL_REJECTED,
--- a/libs/sidecar/src/verbenamill_sidecar/settings.py
+++ b/libs/sidecar/src/verbenamill_sidecar/settings.py
@@ -19,7 +19,7 @@
     as_integer,
 )
 from verbenamill_runtime.settings_reader import read_sections
-from verbenamill_telemetry.forms import LogFormat, LogLevel
+from verbenamill_telemetry.log_settings import LogFormat, LogLevel
 
 
 class VmSettings(Struct, frozen=True, kw_only=True):
--- a/libs/sidecar/src/verbenamill_sidecar/snapshot_client.py
+++ b/libs/sidecar/src/verbenamill_sidecar/snapshot_client.py
@@ -1,7 +1,11 @@
 """Asking another daemon for all that it knows of the operators' wishes."""
 
-from verbenamill_http.client import Answer, Fault, Pool
-from verbenamill_http.messages import EMPTY, encode_request
+from verbenamill_http.client import (
+    ClientResponse,
+    ConnectionPool,
+    ExchangeFailure,
+)
+from verbenamill_http.messages import EMPTY_BODY, encode_request
 from verbenamill_sidecar.hop import FETCH_HEADER
 from verbenamill_sidecar.desired_state import StateSnapshot, decode_snapshot
 
@@ -9,27 +13,27 @@
 _MAX_KNOWLEDGE = 16 * 1024 * 1024
 
 
-async def fetch_snapshot(pool: Pool) -> StateSnapshot | None:
+async def fetch_snapshot(pool: ConnectionPool) -> StateSnapshot | None:
     """Ask a daemon; ``None`` if it cannot be reached or understood."""
-    connection = await pool.take()
+    connection = await pool.acquire()
     if connection is None:
         return None
     request = encode_request(
         b'GET',
         b'/',
         [(b'host', b'verbenamill'), (FETCH_HEADER, b'all')],
-        EMPTY,
+        EMPTY_BODY,
     )
-    answer: Answer | Fault | None = None
+    answer: ClientResponse | ExchangeFailure | None = None
     try:
         answer = await connection.exchange(
             request,
-            is_ours=lambda _: True,
+            matches_request=lambda _: True,
             is_bodiless=False,
             max_body=_MAX_KNOWLEDGE,
         )
     finally:
         pool.discard(connection)
-    if isinstance(answer, Answer):
+    if isinstance(answer, ClientResponse):
         return decode_snapshot(answer.body)
     return None
--- a/libs/sidecar/src/verbenamill_sidecar/suspects.py
+++ b/libs/sidecar/src/verbenamill_sidecar/suspects.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from verbenamill_http.messages import header
+from verbenamill_http.messages import get_header
 from verbenamill_policy.fingerprints import Fingerprint
 from verbenamill_policy.quarantine import (
     CrashId,
@@ -37,7 +37,7 @@
 
 def identify(call: Call) -> Identity:
     """What a request is remembered by."""
-    host = header(call.headers, b'host') or b''
+    host = get_header(call.headers, b'host') or b''
     path = call.target.partition(b'?')[0]
     about = b'%b %b%b' % (call.method, host, path)
     return Identity(
--- a/libs/sidecar/src/verbenamill_sidecar/tries.py
+++ b/libs/sidecar/src/verbenamill_sidecar/tries.py
@@ -1,6 +1,6 @@
 """What has been tried for one request, and how that ended."""
 
-from verbenamill_http.client import Answer
+from verbenamill_http.client import ClientResponse
 from verbenamill_model.typing import VmId
 from verbenamill_sidecar.call import Fate, Outcome
 from verbenamill_sidecar.peers import Peer
@@ -24,7 +24,7 @@
         self.hops = 0
         self.reached = 0
         self.wants_target: bool | None = None
-        self.answer: Answer | None = None
+        self.answer: ClientResponse | None = None
         self.may_have_run = False
         self.crashed = False
         self.blocked = False
--- a/libs/sidecar/tests/test_crashing.py
+++ b/libs/sidecar/tests/test_crashing.py
@@ -44,7 +44,7 @@
     def __init__(self, *, closes):
         self._closes = closes
 
-    async def is_closed_within(self, timeout):
+    async def closes_within(self, timeout):
         await trio.sleep(timeout)
         return self._closes
 
@@ -59,18 +59,18 @@
         self.others = False
         self.taken = 0
 
-    async def take(self, *, max_idle):
+    async def acquire(self, *, max_idle):
         self.taken += 1
         await trio.sleep(0.001)
         return FakeConnection(closes=self.closes) if self.listens else None
 
-    def give_back(self, connection):
+    def release(self, connection):
         """It is kept."""
 
     def discard(self, connection):
         """It is closed."""
 
-    def has_live(self):
+    def has_open_connection(self):
         return self.others
 
 
--- a/libs/sidecar/tests/test_hop.py
+++ b/libs/sidecar/tests/test_hop.py
@@ -1,13 +1,13 @@
 """What daemons tell each other beside a request and its answer."""
 
-from verbenamill_http.client import Answer
+from verbenamill_http.client import ClientResponse
 from verbenamill_policy.limits import NamedLimit
 from verbenamill_sidecar.call import Fate, Outcome, not_run
 from verbenamill_sidecar.hop import encode_outcome, read_outcome
 
 
 def answer_of(response):
-    return Answer(
+    return ClientResponse(
         status=response.status,
         headers=response.headers,
         body=response.body,
@@ -21,7 +21,9 @@
     # requests to another zone.
     outcome = Outcome(
         fate=Fate.ANSWERED,
-        answer=Answer(status=200, headers=[], body=b'x', is_reusable=True),
+        answer=ClientResponse(
+            status=200, headers=[], body=b'x', is_reusable=True
+        ),
         took=0.9,
         usual=0.15,
         reached=True,
--- a/libs/sidecar/tests/test_in_band.py
+++ b/libs/sidecar/tests/test_in_band.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from verbenamill_http.client import Answer
+from verbenamill_http.client import ClientResponse
 from verbenamill_sidecar.in_band import InBand, read_in_band
 from verbenamill_sidecar.protocol import HeaderNames
 
@@ -21,7 +21,7 @@
 
 
 def read(*headers, status=200):
-    answer = Answer(status=status, headers=list(headers), body=b'')
+    answer = ClientResponse(status=status, headers=list(headers), body=b'')
     return read_in_band(answer, NAMES)
 
 
--- a/libs/sidecar/tests/test_racing.py
+++ b/libs/sidecar/tests/test_racing.py
@@ -4,7 +4,7 @@
 import trio
 import trio.testing
 
-from verbenamill_http.client import Answer
+from verbenamill_http.client import ClientResponse
 from verbenamill_policy.members import MemberRecord
 from verbenamill_sidecar.call import Fate, Outcome, not_run, unknown
 from verbenamill_sidecar.peers import Peer
@@ -28,7 +28,7 @@
 
 
 def answered(status):
-    answer = Answer(status=status, headers=[], body=b'')
+    answer = ClientResponse(status=status, headers=[], body=b'')
     return Outcome(fate=Fate.ANSWERED, answer=answer, reached=True)
 
 
--- a/libs/telemetry/src/verbenamill_telemetry/events.py
+++ b/libs/telemetry/src/verbenamill_telemetry/events.py
@@ -77,7 +77,7 @@
         'The shutdown is complete; no call was cut.',
         _NOTHING,
     )
-    SETTINGS_FAULT = EventKind(
+    SETTINGS_INVALID = EventKind(
         'VM1004',
         logging.ERROR,
         '{path}: {fault}',
@@ -93,7 +93,7 @@
         'they were until the daemon is started again.',
         'If the outcome names a fault, correct the file.',
     )
-    HELD_UP = EventKind(
+    PROCESS_STALLED = EventKind(
         'VM1006',
         logging.WARNING,
         'this daemon stood still for {ms} ms',
@@ -205,7 +205,7 @@
         'Start it beside daemons that run. If none is left, publish the '
         'whole configuration on a new stream.',
     )
-    LOG_SHRANK = EventKind(
+    LOG_TRUNCATED = EventKind(
         'VM3006',
         logging.ERROR,
         'the log ends before offset {end}, but {offset} was read from it',
@@ -343,7 +343,7 @@
         'run, so that callers can go elsewhere.',
         'Nothing for a moment. When it lasts, add upstreams.',
     )
-    UPSTREAM_TOLD = EventKind(
+    UPSTREAM_HEARTBEAT = EventKind(
         'VM6005',
         logging.INFO,
         'upstream {instance} told {state}: {belief}',
@@ -352,7 +352,7 @@
         _NOTHING,
         rate=5,
     )
-    UPSTREAM_LEFT = EventKind(
+    UPSTREAM_DEREGISTERED = EventKind(
         'VM6006',
         logging.INFO,
         'upstream {instance} ends',
@@ -402,7 +402,7 @@
         'Look at `load` and at the lines of the upstream before it.',
         rate=20,
     )
-    RUN_BROKEN_OFF = EventKind(
+    RUN_ABORTED = EventKind(
         'VM6012',
         logging.INFO,
         'run of request {request} of {route} broken off after {ms} ms',
--- a/libs/telemetry/src/verbenamill_telemetry/forms.py
+++ b/libs/telemetry/src/verbenamill_telemetry/log_settings.py
@@ -22,7 +22,7 @@
     JSON = 'json'
 
 
-class LogForm(Protocol):
+class LogSettings(Protocol):
     """What a settings file says of the logs."""
 
     @property
--- a/libs/telemetry/src/verbenamill_telemetry/logs.py
+++ b/libs/telemetry/src/verbenamill_telemetry/logs.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from verbenamill_telemetry.events import Event
-from verbenamill_telemetry.forms import LogForm, LogFormat, Sink
+from verbenamill_telemetry.log_settings import LogSettings, LogFormat, Sink
 
 #: Events of one code that may be written at once, and the time after which
 #: one more may.
@@ -48,7 +48,7 @@
 
 
 def set_up_logs(
-    settings: LogForm,
+    settings: LogSettings,
     *,
     stream: Sink = sys.stderr,
     vm: str = '',
--- a/libs/telemetry/src/verbenamill_telemetry/streams.py
+++ b/libs/telemetry/src/verbenamill_telemetry/streams.py
@@ -7,7 +7,7 @@
 PIPE_BUF = 4096
 
 
-class BoundedStream:
+class NonBlockingStream:
     """Writes lines to a descriptor, and drops those it would wait for.
 
     A reader of the logs that stops would otherwise stop the daemon with the
