--- a/deploy/tests/test_adapter.py
+++ b/deploy/tests/test_adapter.py
@@ -21,7 +21,7 @@
 )
 from verbenamill_platform.records import pack, unpack
 from verbenamill_policy.members import MemberRecord
-from verbenamill_policy.rollouts import Settled, Verdict
+from verbenamill_policy.rollouts import SettledOrder, Verdict
 from verbenamill_sidecar.protocol import LeaveAnnouncement, InvalidAnnouncement
 
 ROOT = Path(__file__).parents[2]
@@ -80,7 +80,9 @@
 
 def test_verdicts_go_and_come_back():
     for verdict in Verdict:
-        settled = Settled(order=4, service='s', target='v2', verdict=verdict)
+        settled = SettledOrder(
+            order=4, service='s', target='v2', verdict=verdict
+        )
         key, value = write_settled(settled)
         assert read_settled(key, value) == settled
 
--- a/libs/cli/src/verbenamill_cli/fleet.py
+++ b/libs/cli/src/verbenamill_cli/fleet.py
@@ -12,9 +12,9 @@
 from verbenamill_http.addresses import parse_address
 from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import ServiceName
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.members import MemberRecord
-from verbenamill_policy.rollouts import Order, Settled
+from verbenamill_policy.rollouts import Order, SettledOrder
 from verbenamill_sidecar.snapshot_client import fetch_snapshot
 from verbenamill_sidecar.desired_state import StateSnapshot
 from verbenamill_sidecar.protocol import PublishedRecords, Store, StoreFault
@@ -154,7 +154,7 @@
     return record.vm, record.availability_zone, *about, _judge(seen, newest)
 
 
-def _show_limit(limit: NamedLimit | None) -> str:
+def _show_limit(limit: RateLimit | None) -> str:
     if limit is None:
         return '-'
     since = datetime.fromtimestamp(limit.since / 1000, UTC)
@@ -171,7 +171,7 @@
 
 def _report_moves(
     orders: Iterable[Order],
-    settled: dict[ServiceName, Settled],
+    settled: dict[ServiceName, SettledOrder],
 ) -> Report:
     told = {order.service: _verdict_on(order, settled) for order in orders}
     return Report(
@@ -194,7 +194,7 @@
     )
 
 
-def _verdict_on(order: Order, settled: dict[ServiceName, Settled]) -> str:
+def _verdict_on(order: Order, settled: dict[ServiceName, SettledOrder]) -> str:
     found = settled.get(order.service)
     if found is None or found.order < order.id:
         return _NO_VERDICT
--- a/libs/cli/src/verbenamill_cli/publish.py
+++ b/libs/cli/src/verbenamill_cli/publish.py
@@ -16,11 +16,11 @@
 from verbenamill_cli.results import and_then
 from verbenamill_model import (
     Answer,
-    Changed,
+    Applied,
     Entry,
     Move,
     Refusal,
-    Repeated,
+    Duplicate,
     Ticket,
     TicketRecord,
     accept,
@@ -72,7 +72,7 @@
         case Refusal() as refusal:
             faults = find_faults(known.state.snapshot, ticket, now)
             return Failure(_refused(ticket, faults or (refusal.reason,)))
-        case Repeated():
+        case Duplicate():
             return Success(_repeated(known, ticket))
     return await _append(log, known, ticket)
 
@@ -139,7 +139,7 @@
     step: Step,
 ) -> Result[Published, CliError]:
     match step.answer:
-        case Changed():
+        case Applied():
             return Success(
                 Published(
                     ticket=ticket.number,
@@ -148,7 +148,7 @@
                     moves=_moves_begun(history, step.entry.offset),
                 ),
             )
-        case Repeated():
+        case Duplicate():
             return Success(_repeated(history, ticket))
         case Refusal() as refusal:
             return Failure(_refused(ticket, (refusal.reason,)))
--- a/libs/cli/src/verbenamill_cli/published.py
+++ b/libs/cli/src/verbenamill_cli/published.py
@@ -13,9 +13,9 @@
 from verbenamill_cli.publish import ticket_of
 from verbenamill_model import (
     Answer,
-    Changed,
+    Applied,
     Refusal,
-    Repeated,
+    Duplicate,
     Snapshot,
     Ticket,
 )
@@ -61,9 +61,9 @@
 def describe_answer(answer: Answer) -> str:
     """What became of a record, in a few words."""
     match answer:
-        case Changed():
+        case Applied():
             return 'accepted'
-        case Repeated():
+        case Duplicate():
             return 'repeated; changed nothing'
         case Refusal(reason=reason):
             return f'refused: {reason}'
--- a/libs/cli/src/verbenamill_cli/tickets.py
+++ b/libs/cli/src/verbenamill_cli/tickets.py
@@ -11,10 +11,10 @@
 from verbenamill_cli.output import Report, show_time
 from verbenamill_cli.publish import Published, predict
 from verbenamill_model import (
-    Changed,
+    Applied,
     Move,
     Refusal,
-    Repeated,
+    Duplicate,
     Ticket,
     find_faults,
     find_form_faults,
@@ -55,9 +55,9 @@
     match predict(history, ticket, now=now):
         case Refusal(reason=reason):
             return Failure(_faulty(ticket, faults or (reason,)))
-        case Repeated():
+        case Duplicate():
             text = f'ticket {ticket.number} is in force already'
-        case Changed():
+        case Applied():
             text = f'ticket {ticket.number} would be accepted'
     changes = diff(history.state.snapshot, ticket)
     return Success(
--- a/libs/cli/tests/test_publish_faults.py
+++ b/libs/cli/tests/test_publish_faults.py
@@ -13,7 +13,7 @@
 from verbenamill_cli.patience import PatientLog
 from verbenamill_cli.publish import publish
 from verbenamill_model import (
-    Changed,
+    Applied,
     Entry,
     Service,
     State,
@@ -94,7 +94,7 @@
     for offset, body in enumerate(log.records):
         entry = Entry(offset=offset, at=NOW, body=body)
         state, answer = accept(state, entry)
-        if isinstance(answer, Changed):
+        if isinstance(answer, Applied):
             accepted.append(body)
     return accepted
 
--- a/libs/model/src/verbenamill_model/__init__.py
+++ b/libs/model/src/verbenamill_model/__init__.py
@@ -2,8 +2,8 @@
 
 from verbenamill_model.accept import (
     Answer,
-    Changed,
-    Repeated,
+    Applied,
+    Duplicate,
     accept,
     fold,
 )
@@ -38,14 +38,14 @@
 
 __all__ = (
     'Answer',
+    'Applied',
     'AuditEntry',
-    'Changed',
+    'Duplicate',
     'Entry',
     'Fault',
     'Move',
     'Record',
     'Refusal',
-    'Repeated',
     'Route',
     'Service',
     'ServiceState',
--- a/libs/model/src/verbenamill_model/accept.py
+++ b/libs/model/src/verbenamill_model/accept.py
@@ -13,7 +13,7 @@
     assert_consistent,
     describe,
     end_moves,
-    touched,
+    touched_resources,
 )
 from verbenamill_model.chaining import chain_digest
 from verbenamill_model.checks import find_fault
@@ -46,17 +46,17 @@
 MAX_HISTORY = 256
 
 
-class Changed(Struct, frozen=True, kw_only=True):
+class Applied(Struct, frozen=True, kw_only=True):
     """The record took effect and made a new snapshot."""
 
     version: ConfigVersion
 
 
-class Repeated(Struct, frozen=True, kw_only=True):
+class Duplicate(Struct, frozen=True, kw_only=True):
     """The record says what an earlier one said; nothing changed."""
 
 
-Answer = Changed | Repeated | Refusal
+Answer = Applied | Duplicate | Refusal
 
 
 def accept(state: State, entry: Entry) -> tuple[State, Answer]:
@@ -119,7 +119,7 @@
         # A lost answer makes an operator publish again: the symptom would
         # be a change refused that is in force. Same content is enough to
         # know it for the same change.
-        return state, Repeated()
+        return state, Duplicate()
     fault = _find_clash(state, ticket) or find_fault(
         state.snapshot,
         ticket,
@@ -141,7 +141,7 @@
             f'number {ticket.number} is below {state.floor}, the oldest '
             'remembered; take a higher number'
         )
-    for resource in touched(ticket):
+    for resource in touched_resources(ticket):
         in_force = state.numbers.get(resource)
         if in_force is not None and in_force >= ticket.number:
             return (
@@ -159,7 +159,7 @@
 ) -> tuple[State, Answer]:
     ended = end_moves(state.snapshot, ticket, entry)
     snapshot = apply_ticket(state.snapshot, ticket, entry)
-    numbers = dict.fromkeys(touched(ticket), ticket.number)
+    numbers = dict.fromkeys(touched_resources(ticket), ticket.number)
     line = AuditEntry(
         offset=entry.offset,
         at=entry.at,
@@ -175,7 +175,7 @@
         audit=(*state.audit, line)[-MAX_HISTORY:],
     )
     remembered = _remember(changed, ticket.number, digest)
-    return remembered, Changed(version=snapshot.version)
+    return remembered, Applied(version=snapshot.version)
 
 
 def _remember(state: State, number: TicketNumber, digest: str) -> State:
@@ -205,7 +205,7 @@
     if known is None or known.move is None or known.move.id != record.move:
         # The verdict at the lowest offset has counted already. Two deciders,
         # or one that woke from a pause, write more; they change nothing.
-        return state, Repeated()
+        return state, Duplicate()
     if record.kind not in {VerdictKind.DONE, VerdictKind.TAKEN_BACK}:
         return _refuse(
             state,
@@ -251,7 +251,7 @@
         verdicts=(*state.verdicts, verdict)[-MAX_HISTORY:],
         audit=(*state.audit, line)[-MAX_HISTORY:],
     )
-    return changed, Changed(version=snapshot.version)
+    return changed, Applied(version=snapshot.version)
 
 
 def fold(state: State, entries: tuple[Entry, ...]) -> Result[State, str]:
--- a/libs/model/src/verbenamill_model/applying.py
+++ b/libs/model/src/verbenamill_model/applying.py
@@ -34,7 +34,7 @@
     return snapshot
 
 
-def touched(ticket: Ticket) -> tuple[str, ...]:
+def touched_resources(ticket: Ticket) -> tuple[str, ...]:
     """Keys of the resources that a ticket gives a new state."""
     return (
         *(f'service:{service.name}' for service in ticket.services),
--- a/libs/model/tests/test_accept.py
+++ b/libs/model/tests/test_accept.py
@@ -6,10 +6,10 @@
 import pytest
 
 from verbenamill_model import (
-    Changed,
+    Applied,
     Entry,
     Refusal,
-    Repeated,
+    Duplicate,
     Route,
     Service,
     State,
@@ -45,7 +45,7 @@
         services=(Service(name='entries', version='v1'),),
         routes=(Route(name='entries', prefix='/entries', service='entries'),),
     )
-    assert isinstance(answer, Changed)
+    assert isinstance(answer, Applied)
     return state
 
 
@@ -57,7 +57,7 @@
         deadline=START + timedelta(minutes=1),
     )
     state, answer = publish(installed, number=2, services=(wanted,))
-    assert isinstance(answer, Changed)
+    assert isinstance(answer, Applied)
     return state
 
 
@@ -73,7 +73,7 @@
         services=(Service(name='entries', version='v1'),),
         routes=(Route(name='entries', prefix='/entries', service='entries'),),
     )
-    assert isinstance(answer, Repeated)
+    assert isinstance(answer, Duplicate)
     assert again.snapshot == installed.snapshot
 
 
@@ -121,7 +121,7 @@
         decided_by='vm-1',
     )
     state, answer = accept(moving, entry(moving, done))
-    assert isinstance(answer, Changed)
+    assert isinstance(answer, Applied)
     late = VerdictRecord(
         move=move.id,
         service='entries',
@@ -129,7 +129,7 @@
         decided_by='vm-2',
     )
     state, answer = accept(state, entry(state, late))
-    assert isinstance(answer, Repeated)
+    assert isinstance(answer, Duplicate)
     assert state.snapshot.services['entries'].version == 'v2'
     assert [verdict.kind for verdict in state.verdicts] == [VerdictKind.DONE]
 
@@ -219,7 +219,7 @@
     checks = sys.modules['verbenamill_model.checks']
     monkeypatch.setattr(checks, 'MIN_MOVE', timedelta(0))
     moved, answer = publish(installed, number=2, services=(wanted,))
-    assert isinstance(answer, Changed)
+    assert isinstance(answer, Applied)
     assert moved.digest != refused.digest
     again = Service(name='entries', version='v1')
     one, _ = publish(moved, number=3, services=(again,))
--- a/libs/model/tests/test_accept_properties.py
+++ b/libs/model/tests/test_accept_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from verbenamill_model import (
-    Changed,
+    Applied,
     Entry,
     Refusal,
     Route,
@@ -130,7 +130,7 @@
     for entry in entries:
         after, answer = accept(state, entry)
         assert after.offset == entry.offset
-        if isinstance(answer, Changed):
+        if isinstance(answer, Applied):
             assert after.snapshot.version == answer.version == entry.offset
         else:
             assert after.snapshot == state.snapshot
@@ -161,7 +161,7 @@
         for entry in entries
         if isinstance(
             accept(fold(State(), entries[: entry.offset]).unwrap(), entry)[1],
-            Changed,
+            Applied,
         )
     ]
     again = tuple(
--- a/libs/policy/src/verbenamill_policy/admission.py
+++ b/libs/policy/src/verbenamill_policy/admission.py
@@ -20,7 +20,7 @@
 
 
 @unique
-class Entry(Enum):
+class AdmissionResult(Enum):
     """Whether a request got a slot."""
 
     ADMITTED = 'admitted'
@@ -45,28 +45,29 @@
     return wait + SPREAD * expected <= left * HEADROOM
 
 
-class Ticket:
+class AdmissionRequest:
     """A request that runs or waits.
 
-    :param span: latency objective of its route in seconds; 0 if not known.
+    :param latency_objective: latency objective of its route in seconds; 0 if
+        not known.
     :param due: when its answer is due, on the monotonic clock.
     :param objective: until when an answer is worth waiting for in full.
     :param deadline: when its caller gives up.
-    :param settle: called once, when a request that waits is admitted or
+    :param on_settled: called once, when a request that waits is admitted or
         refused.
     :ivar expected: its service time as reckoned when it came, in seconds.
     """
 
     __slots__ = (
         'route',
-        'span',
+        'latency_objective',
         'expected',
         '_order',
         'arrived',
         'objective',
         'deadline',
         'started',
-        'settle',
+        'on_settled',
         'is_late',
     )
 
@@ -74,16 +75,16 @@
         self,
         *,
         route: RouteName,
-        span: float = 0,
+        latency_objective: float = 0,
         priority: int,
         arrived: float,
         due: float,
         objective: float,
         deadline: float,
-        settle: Callable[[Entry], None],
+        on_settled: Callable[[AdmissionResult], None],
     ) -> None:
         self.route = route
-        self.span = span
+        self.latency_objective = latency_objective
         self.expected = float(0)
         self.is_late = False
         self._order = (priority, due)
@@ -91,7 +92,7 @@
         self.objective = objective
         self.deadline = deadline
         self.started = arrived
-        self.settle = settle
+        self.on_settled = on_settled
 
     @property
     def priority(self) -> int:
@@ -126,8 +127,8 @@
         self.slots = slots
         self.times = ServiceTimes()
         self._pace: TokenBucket | None = None
-        self._running: set[Ticket] = set()
-        self._waiting: list[Ticket] = []
+        self._running: set[AdmissionRequest] = set()
+        self._waiting: list[AdmissionRequest] = []
 
     @property
     def running(self) -> int:
@@ -163,12 +164,12 @@
         self._shed_overtaken(0, now)
         self.admit(now)
 
-    def count_extra(self, now: float) -> None:
+    def record_resend(self, now: float) -> None:
         """A request is sent once more."""
         if self._pace is not None:
             self._pace.take(now)
 
-    def count_unsent(self, now: float) -> None:
+    def record_unsent(self, now: float) -> None:
         """A request that was admitted has not been sent."""
         if self._pace is not None:
             self._pace.give_back(now)
@@ -187,25 +188,31 @@
         ahead = sum(one.priority <= priority for one in self._waiting)
         return self._pace.wait(ahead, now)
 
-    def enter(self, ticket: Ticket, now: float) -> Entry | None:
+    def acquire(
+        self, ticket: AdmissionRequest, now: float
+    ) -> AdmissionResult | None:
         """Ask for a slot; ``None`` when the request waits for one."""
-        ticket.expected = self.times.expect(ticket.route, objective=ticket.span)
+        ticket.expected = self.times.expect(
+            ticket.route, objective=ticket.latency_objective
+        )
         if not self._waiting and self._may_start(now):
             self._start(ticket, now)
-            return Entry.ADMITTED
+            return AdmissionResult.ADMITTED
         ticket.is_late = now + SPREAD * ticket.expected > ticket.objective
         ahead = self._count_ahead(ticket)
-        if not self._fits(ticket, self.wait_behind(ahead, now), now):
-            return Entry.SHED
+        if not self._fits(ticket, self.expected_wait(ahead, now), now):
+            return AdmissionResult.SHED
         if len(self._waiting) >= QUEUE_FACTOR * max(self.slots, 1):
             if ahead == len(self._waiting):
-                return Entry.SHED
-            self._waiting.pop().settle(Entry.SHED)
+                return AdmissionResult.SHED
+            self._waiting.pop().on_settled(AdmissionResult.SHED)
         self._waiting.insert(ahead, ticket)
         self._shed_overtaken(ahead + 1, now)
         return None
 
-    def leave(self, ticket: Ticket, now: float, *, took: float | None) -> None:
+    def release(
+        self, ticket: AdmissionRequest, now: float, *, took: float | None
+    ) -> None:
         """Free what a request holds.
 
         :param took: service time; ``None`` if it tells nothing, as with a
@@ -224,19 +231,19 @@
         while self._waiting and self._may_start(now):
             ticket = self._waiting.pop(0)
             if self._is_hopeless(ticket, now):
-                ticket.settle(Entry.SHED)
+                ticket.on_settled(AdmissionResult.SHED)
                 continue
             self._start(ticket, now)
-            ticket.settle(Entry.ADMITTED)
+            ticket.on_settled(AdmissionResult.ADMITTED)
 
     def shed_all(self) -> None:
         """Refuse all who wait, as when the upstream leaves."""
         waiting = self._waiting
         self._waiting = []
         for ticket in waiting:
-            ticket.settle(Entry.SHED)
+            ticket.on_settled(AdmissionResult.SHED)
 
-    def wait_behind(self, ahead: int, now: float) -> float:
+    def expected_wait(self, ahead: int, now: float) -> float:
         """Expected wait behind some others, in seconds.
 
         It is reckoned by the work of those who run and wait. The mean of
@@ -265,19 +272,19 @@
         rate = sum(1 / max(one.expected, 0.001) for one in self._running)
         return 1 / rate if rate else 0
 
-    def _start(self, ticket: Ticket, now: float) -> None:
+    def _start(self, ticket: AdmissionRequest, now: float) -> None:
         ticket.started = now
         self._running.add(ticket)
         if self._pace is not None:
             self._pace.take(now)
 
-    def _count_ahead(self, ticket: Ticket) -> int:
+    def _count_ahead(self, ticket: AdmissionRequest) -> int:
         ahead = len(self._waiting)
         while ahead and self._waiting[ahead - 1].order > ticket.order:
             ahead -= 1
         return ahead
 
-    def _fits(self, ticket: Ticket, wait: float, now: float) -> bool:
+    def _fits(self, ticket: AdmissionRequest, wait: float, now: float) -> bool:
         """Whether an answer can come by the objective after some wait.
 
         A request that will miss its objective in any case is measured by its
@@ -290,7 +297,7 @@
             patience=ticket.deadline - now,
         )
 
-    def _is_hopeless(self, ticket: Ticket, now: float) -> bool:
+    def _is_hopeless(self, ticket: AdmissionRequest, now: float) -> bool:
         return now + ticket.expected / 2 > ticket.deadline
 
     def _shed_overtaken(self, first: int, now: float) -> None:
@@ -299,7 +306,7 @@
         Held on, they would be refused only when it is too late to go to
         another upstream.
         """
-        wait = self.wait_behind(first, now)
+        wait = self.expected_wait(first, now)
         kept = self._waiting[:first]
         for ticket in self._waiting[first:]:
             if self._fits(ticket, wait, now):
@@ -307,5 +314,5 @@
                 wait += ticket.expected / max(self.slots, 1)
                 wait = max(wait, self._paced_wait(len(kept), now))
             else:
-                ticket.settle(Entry.SHED)
+                ticket.on_settled(AdmissionResult.SHED)
         self._waiting = kept
--- a/libs/policy/src/verbenamill_policy/heartbeats.py
+++ b/libs/policy/src/verbenamill_policy/heartbeats.py
@@ -10,8 +10,8 @@
     UpstreamState,
     VersionName,
 )
-from verbenamill_policy.limits import NamedLimit
-from verbenamill_policy.members import LAST_HEARTBEAT, UpstreamRecord
+from verbenamill_policy.limits import RateLimit
+from verbenamill_policy.members import LEAVE_SEQUENCE, UpstreamRecord
 
 #: Instances whose leaving is remembered; a VM has one upstream at a time.
 MAX_REMEMBERED = 32
@@ -37,16 +37,16 @@
 
 
 @unique
-class Belief(Enum):
+class HeartbeatResult(Enum):
     """What became of a heartbeat."""
 
-    NEWS = 'news'
-    KNOWN = 'known'
+    CHANGED = 'news'
+    UNCHANGED = 'known'
     STALE = 'stale'
-    ELSEWHERE = 'elsewhere'
+    OTHER_ADDRESS = 'elsewhere'
 
 
-class UpstreamRegister:
+class UpstreamTracker:
     """The upstream beside this daemon, from its heartbeats.
 
     A heartbeat may be late by seconds. One of an upstream that crashed must
@@ -67,16 +67,16 @@
         """The upstream as last told, also when it drains or is gone."""
         return self._current
 
-    def take(self, beat: Heartbeat) -> Belief:
+    def update(self, beat: Heartbeat) -> HeartbeatResult:
         """Take in a heartbeat."""
         if beat.address != self._address:
-            return Belief.ELSEWHERE
+            return HeartbeatResult.OTHER_ADDRESS
         order = (beat.born, beat.sequence)
         if self._left.get(beat.instance, (-1, -1)) >= order:
-            return Belief.STALE
+            return HeartbeatResult.STALE
         current = self._current
         if current is not None and not _follows(current, beat):
-            return Belief.STALE
+            return HeartbeatResult.STALE
         record = UpstreamRecord(
             instance=beat.instance,
             born=beat.born,
@@ -89,8 +89,8 @@
         )
         self._current = record
         if current is not None and _same_facts(current, record):
-            return Belief.KNOWN
-        return Belief.NEWS
+            return HeartbeatResult.UNCHANGED
+        return HeartbeatResult.CHANGED
 
     def leave(self, instance: str, born: int, *, now: int) -> bool:
         """An upstream said that it ends; tells whether it was the current.
@@ -134,12 +134,12 @@
         known = self._left.get(upstream.instance, (-1, -1))
         return known >= (upstream.born, upstream.heartbeat)
 
-    def lose(self, instance: str) -> None:
+    def mark_gone(self, instance: str) -> None:
         """Nobody of this name listens any more, until a heartbeat comes."""
         if self._current is not None and self._current.instance == instance:
             self._set_state(UpstreamState.GONE)
 
-    def set_limit(self, limit: NamedLimit | None) -> None:
+    def set_limit(self, limit: RateLimit | None) -> None:
         """The current upstream names a limit, or none any more."""
         if self._current is not None:
             self._current = replace(self._current, limit=limit)
@@ -195,11 +195,11 @@
         self._current = replace(
             current,
             state=state,
-            heartbeat=LAST_HEARTBEAT,
+            heartbeat=LEAVE_SEQUENCE,
         )
 
     def _remember(self, instance: str, born: int) -> None:
-        self._left[instance] = (born, LAST_HEARTBEAT)
+        self._left[instance] = (born, LEAVE_SEQUENCE)
         self._trim()
 
     def _trim(self) -> None:
@@ -233,7 +233,7 @@
 def _keep_limit(
     current: UpstreamRecord | None,
     beat: Heartbeat,
-) -> NamedLimit | None:
+) -> RateLimit | None:
     """The limit that the same start of an upstream has named."""
     if current is None:
         return None
--- a/libs/policy/src/verbenamill_policy/limits.py
+++ b/libs/policy/src/verbenamill_policy/limits.py
@@ -29,7 +29,7 @@
     return min(rates, default=None)
 
 
-class NamedLimit(Struct, frozen=True, array_like=True):
+class RateLimit(Struct, frozen=True, array_like=True):
     """A limit as daemons tell it to each other.
 
     :param rate: in requests a second.
@@ -41,7 +41,7 @@
     since: int
 
 
-class LimitBelief:
+class RateLimitTracker:
     """What the answers of one start of an upstream say of its limit.
 
     :ivar rate: in requests a second; ``None`` if it names no limit.
@@ -50,7 +50,7 @@
 
     def __init__(self) -> None:
         self.rate: float | None = None
-        self.told: float | None = None
+        self.announced: float | None = None
         self._named_at = float('-inf')
         self._told_at = float('-inf')
         self._has_heard = False
@@ -60,13 +60,13 @@
         """Whether there is an answer or a memory to go by."""
         return self._has_heard or self.rate is not None
 
-    def name(self, rate: float, now: float) -> None:
+    def record_limit(self, rate: float, now: float) -> None:
         """An answer names a limit."""
         self._has_heard = True
         self.rate = rate
         self._named_at = now
 
-    def name_none(self, *, asked_at: float) -> bool:
+    def record_no_limit(self, *, asked_at: float) -> bool:
         """An answer names none; tells whether that ends a limit.
 
         Answers overtake each other. Only one that was asked for after the
@@ -87,18 +87,18 @@
         self.rate = rate
         return True
 
-    def take_news(self, now: float) -> bool:
+    def take_update(self, now: float) -> bool:
         """Whether others are to be told of a change now."""
         if now - self._told_at < _TELL_PERIOD:
             return False
-        if not _is_material(self.told, self.rate):
+        if not _is_material(self.announced, self.rate):
             return False
-        self.told = self.rate
+        self.announced = self.rate
         self._told_at = now
         return True
 
 
-def _is_material(told: float | None, rate: float | None) -> bool:
-    if told is None or rate is None:
-        return told is not rate
-    return abs(rate - told) > _MATERIAL * told
+def _is_material(announced: float | None, rate: float | None) -> bool:
+    if announced is None or rate is None:
+        return announced is not rate
+    return abs(rate - announced) > _MATERIAL * announced
--- a/libs/policy/src/verbenamill_policy/members.py
+++ b/libs/policy/src/verbenamill_policy/members.py
@@ -13,14 +13,14 @@
     VersionName,
     VmId,
 )
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 
 #: Parts of a zone's records that two daemons compare: a zone of a thousand
 #: daemons has some thirty in each, whose ages fit into one datagram.
 BUCKETS = 32
 #: Number that comes after each heartbeat of one start of an upstream: it said
 #: that it ends, so what a heartbeat says of it counts no more.
-LAST_HEARTBEAT = 1 << 62
+LEAVE_SEQUENCE = 1 << 62
 
 
 class UpstreamRecord(Struct, frozen=True, array_like=True):
@@ -40,12 +40,12 @@
     version: VersionName
     state: UpstreamState
     slots: int
-    limit: NamedLimit | None = None
+    limit: RateLimit | None = None
 
     @property
     def has_left(self) -> bool:
         """Whether this start said that it ends; no heartbeat undoes that."""
-        return self.heartbeat == LAST_HEARTBEAT
+        return self.heartbeat == LEAVE_SEQUENCE
 
 
 class MemberRecord(Struct, frozen=True, array_like=True):
--- a/libs/policy/src/verbenamill_policy/deciding.py
+++ b/libs/policy/src/verbenamill_policy/move_decision.py
@@ -23,7 +23,7 @@
 _PRESSING = 0.75
 
 
-class Situation(Struct, frozen=True, kw_only=True):
+class MoveContext(Struct, frozen=True, kw_only=True):
     """One move as its decider sees it.
 
     :param elapsed: since the order, in seconds.
@@ -52,7 +52,7 @@
     done: bool = False
 
 
-def decide(situation: Situation) -> Decision:
+def decide(situation: MoveContext) -> Decision:
     """Decide on one move."""
     stage = situation.progress.stage
     part = situation.elapsed / max(situation.window, 0.001)
@@ -67,7 +67,7 @@
     return Decision(stage=_next_stage(situation, part))
 
 
-def _end(situation: Situation, part: float) -> Decision:
+def _end(situation: MoveContext, part: float) -> Decision:
     long_enough = situation.in_stage >= _LAST_STAGE_TIME
     is_due = part >= DONE_AT and long_enough
     # Doubt holds it up as long as there is time, and not beyond.
@@ -76,7 +76,7 @@
     return Decision(stage=LAST_STAGE, done=is_due)
 
 
-def _next_stage(situation: Situation, part: float) -> int:
+def _next_stage(situation: MoveContext, part: float) -> int:
     stage = situation.progress.stage
     following = stage + 1
     if part < STAGES[following].begins:
--- a/libs/policy/src/verbenamill_policy/nesting.py
+++ b/libs/policy/src/verbenamill_policy/nested_calls.py
@@ -32,7 +32,7 @@
         self.refused = float(0)
         self._told_at = float(0)
 
-    def tell_outcome(self, *, refused: bool, now: float) -> None:
+    def record_outcome(self, *, refused: bool, now: float) -> None:
         """Take in whether a call found no room."""
         known = self.expect_refusal(now)
         self.refused = known + _REFUSAL_WEIGHT * (float(refused) - known)
@@ -57,20 +57,20 @@
         return self.expect_refusal(now) < _FULL
 
 
-class Nesting:
+class NestedCallTracker:
     """Learns from the calls that pass by."""
 
     def __init__(self) -> None:
         self._routes: dict[RouteName, dict[ServiceName, NestedCall]] = {}
 
-    def tell_call(self, parent: RouteName, service: ServiceName) -> None:
+    def record_call(self, parent: RouteName, service: ServiceName) -> None:
         """A request of a route has made a call."""
         if parent not in self._routes and len(self._routes) >= MAX_ROUTES:
             return
         calls = self._routes.setdefault(parent, {})
         calls.setdefault(service, NestedCall(service)).share += _WEIGHT
 
-    def tell_outcome(
+    def record_outcome(
         self,
         parent: RouteName,
         service: ServiceName,
@@ -81,9 +81,9 @@
         """A call that a request of a route has made is over."""
         call = self._routes.get(parent, {}).get(service)
         if call is not None:
-            call.tell_outcome(refused=refused, now=now)
+            call.record_outcome(refused=refused, now=now)
 
-    def tell_end(self, route: RouteName) -> None:
+    def record_end(self, route: RouteName) -> None:
         """A request of a route has ended."""
         for call in self._routes.get(route, {}).values():
             call.share *= 1 - _WEIGHT
--- a/libs/policy/src/verbenamill_policy/placement.py
+++ b/libs/policy/src/verbenamill_policy/placement.py
@@ -57,8 +57,8 @@
 
 #: Shortest and longest time in which no request goes to an owner that could
 #: not be reached, in seconds.
-FIRST_PAUSE = 0.25
-LONGEST_PAUSE = 4.0
+INITIAL_BACKOFF = 0.25
+MAX_BACKOFF = 4.0
 
 
 class _Pause(NamedTuple):
@@ -68,7 +68,7 @@
     until: float
 
 
-class Owner:
+class OwnerEstimate:
     """What an ingress believes of one daemon and its upstream.
 
     :ivar pace: service time in relation to the mean of its service.
@@ -105,7 +105,7 @@
         self.told_at = float(0)
         self.failing = float(0)
         self.down_until = float(0)
-        self.pause = FIRST_PAUSE
+        self.pause = INITIAL_BACKOFF
         self.samples = 0
         self._pauses: dict[int, _Pause] = {}
         self._throttles: dict[int, Throttle] = {}
@@ -114,14 +114,14 @@
         """Count a request that goes there now."""
         self.load += 1
 
-    def tell_load(self, load: int, now: float) -> None:
+    def record_load(self, load: int, now: float) -> None:
         """Take in the load that came with a reply."""
         self.load = float(load)
         self.told_at = now
-        self.pause = FIRST_PAUSE
+        self.pause = INITIAL_BACKOFF
         self.down_until = 0
 
-    def tell_time(self, took: float, usual: float) -> None:
+    def record_service_time(self, took: float, usual: float) -> None:
         """Take in its mean time of a route, beside that of all owners.
 
         It is the owner's own mean, of the requests of all daemons. Single
@@ -138,7 +138,7 @@
         """Whether its upstream names a limit."""
         return bool(self._pauses)
 
-    def tell_limited(
+    def record_limit_result(
         self,
         priority: int,
         pause: float,
@@ -156,12 +156,12 @@
         throttle.tell(now, taken=taken)
         self._pauses[priority] = _Pause(pause, now + pause)
 
-    def forget_limit(self) -> None:
+    def clear_limit(self) -> None:
         """Its upstream names no limit any more."""
         self._throttles.clear()
         self._pauses.clear()
 
-    def room_at(self, priority: int) -> float:
+    def limit_ready_at(self, priority: int) -> float:
         """When its limit has room for a request, as far as it was told.
 
         What is more urgent has room no later.
@@ -187,7 +187,7 @@
         throttle = self._throttles.get(priority)
         return throttle is not None and throttle.holds_back(now, random)
 
-    def tell_outcome(self, *, failed: bool) -> None:
+    def record_outcome(self, *, failed: bool) -> None:
         """Take in whether an answer was a failure."""
         self.failing += _FAILURE_WEIGHT * (float(failed) - self.failing)
 
@@ -197,7 +197,7 @@
         :param pause: for how long, in seconds; 0 for longer each time.
         """
         self.down_until = now + (pause or self.pause)
-        self.pause = min(self.pause * 2, LONGEST_PAUSE)
+        self.pause = min(self.pause * 2, MAX_BACKOFF)
 
     def expect_load(self, now: float) -> float:
         """Load by now: what was told long ago has gone meanwhile."""
@@ -207,28 +207,28 @@
         return self.load * _halved(age, _LOAD_HALVES)
 
 
-class Wish(Struct, kw_only=True):
+class PlacementRequest(Struct, kw_only=True):
     """A request that looks for an owner.
 
-    :param usual: mean service time of its route, in seconds.
-    :param spread: standard deviation of the logarithm of these times.
-    :param left: time to its latency objective, in seconds.
-    :param patience: time until its caller gives up, in seconds.
-    :param size: bytes of its body and of the answer that is expected.
+    :param mean_time: mean service time of its route, in seconds.
+    :param log_deviation: standard deviation of the logarithm of these times.
+    :param time_to_objective: time to its latency objective, in seconds.
+    :param time_to_deadline: time until its caller gives up, in seconds.
+    :param byte_count: bytes of its body and of the answer that is expected.
     :param priority: of its route; 0 is served first.
     """
 
-    usual: float
-    left: float
-    spread: float = FIRST_SPREAD
-    patience: float = 0
-    size: float = 0
+    mean_time: float
+    time_to_objective: float
+    log_deviation: float = FIRST_SPREAD
+    time_to_deadline: float = 0
+    byte_count: float = 0
     priority: int = 0
 
     @property
-    def crossing(self) -> float:
+    def cross_zone_cost(self) -> float:
         """What the way to another zone costs, in answers."""
-        told = (self.size + _HEADER_BYTES) / _BYTES_PER_ANSWER
+        told = (self.byte_count + _HEADER_BYTES) / _BYTES_PER_ANSWER
         return min(told, _MOST_FOR_BYTES)
 
 
@@ -254,43 +254,45 @@
     return math.pow(2, -age / half_life)
 
 
-def forecast(owner: Owner, wish: Wish, now: float) -> Forecast:
+def forecast(
+    owner: OwnerEstimate, wish: PlacementRequest, now: float
+) -> Forecast:
     """What a request can expect of an owner."""
     load = owner.expect_load(now)
     slots = owner.slots
     trust = _halved(max(now - owner.told_at, 0), _BELIEF_HALVES)
-    service = wish.usual * (1 + (owner.pace - 1) * trust)
+    service = wish.mean_time * (1 + (owner.pace - 1) * trust)
     queued = max(load + 1 - slots, 0) * service / slots
     return Forecast(
-        wait=max(queued, owner.room_at(wish.priority) - now),
+        wait=max(queued, owner.limit_ready_at(wish.priority) - now),
         service=service,
         failing=owner.failing * trust,
     )
 
 
-def expect_worth(expected: Forecast, wish: Wish) -> float:
+def expect_worth(expected: Forecast, wish: PlacementRequest) -> float:
     """Expected worth of an answer, where one in time is worth 1."""
-    left = wish.left * _HEADROOM
-    in_time = chance(expected.service, wish.spread, left - expected.wait)
+    left = wish.time_to_objective * _HEADROOM
+    in_time = chance(expected.service, wish.log_deviation, left - expected.wait)
     at_all = chance(
         expected.service,
-        wish.spread,
-        max(wish.patience, wish.left) - expected.wait,
+        wish.log_deviation,
+        max(wish.time_to_deadline, wish.time_to_objective) - expected.wait,
     )
     worth = in_time + _LATE_WORTH * max(at_all - in_time, 0)
-    speed = _SPEED_WORTH * expected.time / max(wish.left, 0.001)
+    speed = _SPEED_WORTH * expected.time / max(wish.time_to_objective, 0.001)
     return worth * (1 - expected.failing) - speed
 
 
-def choose(
-    owners: Sequence[Owner],
-    wish: Wish,
+def choose_owner(
+    owners: Sequence[OwnerEstimate],
+    wish: PlacementRequest,
     *,
     zone: AvailabilityZone,
     excluded: Collection[VmId],
     now: float,
     random: Random,
-) -> Owner | None:
+) -> OwnerEstimate | None:
     """The owner to send a request to.
 
     Each one is judged by the worth of the answer that can be expected there,
@@ -308,14 +310,14 @@
     far = [owner for owner in usable if owner.availability_zone != zone]
     best, worth = _best(near, wish, now, random)
     other, worth_far = _best(far, wish, now, random)
-    if best is None or worth_far - wish.crossing > worth:
+    if best is None or worth_far - wish.cross_zone_cost > worth:
         return other or best
     return best
 
 
-def find_room(
-    owners: Sequence[Owner],
-    wish: Wish,
+def find_limit_wait(
+    owners: Sequence[OwnerEstimate],
+    wish: PlacementRequest,
     *,
     excluded: Collection[VmId],
     now: float,
@@ -330,35 +332,35 @@
 
 
 def _reachable(
-    owners: Sequence[Owner],
+    owners: Sequence[OwnerEstimate],
     excluded: Collection[VmId],
     now: float,
-) -> Iterator[Owner]:
+) -> Iterator[OwnerEstimate]:
     for owner in owners:
         if owner.down_until <= now and owner.vm not in excluded:
             yield owner
 
 
-def _has_room(owner: Owner, wish: Wish, now: float) -> bool:
+def _has_room(owner: OwnerEstimate, wish: PlacementRequest, now: float) -> bool:
     """Whether its limit has room so soon that it takes the request."""
-    wait = owner.room_at(wish.priority) - now
+    wait = owner.limit_ready_at(wish.priority) - now
     if wait <= 0:
         return True
-    is_late = SPREAD * wish.usual > wish.left
+    is_late = SPREAD * wish.mean_time > wish.time_to_objective
     return fits_behind(
         wait,
-        wish.usual,
-        left=None if is_late else wish.left,
-        patience=wish.patience,
+        wish.mean_time,
+        left=None if is_late else wish.time_to_objective,
+        patience=wish.time_to_deadline,
     )
 
 
 def _best(
-    owners: list[Owner],
-    wish: Wish,
+    owners: list[OwnerEstimate],
+    wish: PlacementRequest,
     now: float,
     random: Random,
-) -> tuple[Owner | None, float]:
+) -> tuple[OwnerEstimate | None, float]:
     if len(owners) > _MAX_LOOKS:
         owners = random.sample(owners, _MAX_LOOKS)
     best = None
--- a/libs/policy/src/verbenamill_policy/quarantine.py
+++ b/libs/policy/src/verbenamill_policy/quarantine.py
@@ -81,7 +81,7 @@
 
 
 @unique
-class Standing(Enum):
+class QuarantineStatus(Enum):
     """What may be done with a request.
 
     ``HELD`` waits until it is cleared, or is refused. ``ISOLATED`` runs while
@@ -89,22 +89,22 @@
     """
 
     CLEAR = 'clear'
-    WATCHED = 'watched'
+    SUSPECTED = 'watched'
     ISOLATED = 'isolated'
     HELD = 'held'
     BLOCKED = 'blocked'
 
 
 @unique
-class Merge(Enum):
+class MergeResult(Enum):
     """What became of another daemon's record.
 
     ``BEHIND``: the other one lacks something that is known here.
     """
 
-    NEWS = 'news'
+    CHANGED = 'news'
     KNOWN = 'known'
-    BEHIND = 'behind'
+    SENDER_BEHIND = 'behind'
 
 
 class Quarantine:
@@ -135,7 +135,7 @@
         return not self._accused
 
     @property
-    def accused(self) -> int:
+    def suspected_count(self) -> int:
         """Fingerprints that are suspected or blocked."""
         return self._accused
 
@@ -156,13 +156,13 @@
         """What is known of a fingerprint."""
         return self._records.get(fingerprint)
 
-    def judge(
+    def find_status(
         self,
         fingerprint: Fingerprint,
         *,
         now: float,
         wall: float,
-    ) -> Standing:
+    ) -> QuarantineStatus:
         """What may be done with a request.
 
         :param now: on a monotonic clock, in seconds.
@@ -170,14 +170,20 @@
         """
         record = self._records.get(fingerprint)
         if record is None or not record.crashes:
-            return Standing.CLEAR
+            return QuarantineStatus.CLEAR
         if not record.is_blocked:
             is_alone = len(record.crashes) >= ISOLATE_AFTER
-            return Standing.ISOLATED if is_alone else Standing.WATCHED
+            return (
+                QuarantineStatus.ISOLATED
+                if is_alone
+                else QuarantineStatus.SUSPECTED
+            )
         if now < self._held_until.get(fingerprint, 0):
-            return Standing.HELD
+            return QuarantineStatus.HELD
         is_over = not self.blocked_for(record, wall=wall)
-        return Standing.ISOLATED if is_over else Standing.BLOCKED
+        return (
+            QuarantineStatus.ISOLATED if is_over else QuarantineStatus.BLOCKED
+        )
 
     def blocked_for(self, record: Suspect, *, wall: float) -> float:
         """How much longer a request is refused here, in seconds."""
@@ -193,12 +199,12 @@
         """End of the time in which a request is held, on the clock of now."""
         return self._held_until.get(fingerprint, 0)
 
-    def may_repeat(self, fingerprint: Fingerprint) -> bool:
+    def may_retry(self, fingerprint: Fingerprint) -> bool:
         """Whether one coming of a request may reach a further upstream."""
         record = self._records.get(fingerprint)
         return record is None or len(record.crashes) < ISOLATE_AFTER
 
-    def accuse(
+    def record_crash(
         self,
         fingerprint: Fingerprint,
         crash: CrashId,
@@ -231,7 +237,7 @@
         )
         self._untold.add(fingerprint)
 
-    def clear(
+    def record_completion(
         self,
         fingerprint: Fingerprint,
         *,
@@ -260,7 +266,7 @@
         )
         return True
 
-    def share(self, fingerprint: Fingerprint) -> bool:
+    def mark_shared(self, fingerprint: Fingerprint) -> bool:
         """Mark a suspicion as told; tells whether others lack something."""
         if fingerprint not in self._untold:
             return False
@@ -268,17 +274,17 @@
         self._shared.add(fingerprint)
         return True
 
-    def merge(self, record: Suspect, *, now: float) -> Merge:
+    def merge(self, record: Suspect, *, now: float) -> MergeResult:
         """Take in what another daemon knows."""
         if not _is_sound(record):
-            return Merge.KNOWN
+            return MergeResult.KNOWN
         known = self._records.get(record.fingerprint)
         self._shared.add(record.fingerprint)
         if known is None or record.round > known.round:
             self._put(record, now=now)
-            return Merge.NEWS
+            return MergeResult.CHANGED
         if record.round < known.round:
-            return Merge.BEHIND
+            return MergeResult.SENDER_BEHIND
         joined = msgspec.structs.replace(
             known,
             crashes=_join(known.crashes, record.crashes),
@@ -288,8 +294,10 @@
         )
         if joined != known:
             self._put(joined, now=now)
-            return Merge.NEWS
-        return Merge.KNOWN if joined == record else Merge.BEHIND
+            return MergeResult.CHANGED
+        return (
+            MergeResult.KNOWN if joined == record else MergeResult.SENDER_BEHIND
+        )
 
     def sweep(self, *, wall: float) -> None:
         """Forget what is too old to be of use."""
--- a/libs/policy/src/verbenamill_policy/returning.py
+++ b/libs/policy/src/verbenamill_policy/retry_detection.py
@@ -39,7 +39,7 @@
         return common if self._counts[common] >= _COMMON * total else None
 
 
-class Returning:
+class RetryDetector:
     """Recognises callers that were refused and came back.
 
     Callers of a route give the same time at first, as their program sets it,
--- a/libs/policy/src/verbenamill_policy/rollouts.py
+++ b/libs/policy/src/verbenamill_policy/rollouts.py
@@ -29,7 +29,7 @@
     TAKEN_BACK = 'taken-back'
 
 
-class Settled(Struct, frozen=True, kw_only=True):
+class SettledOrder(Struct, frozen=True, kw_only=True):
     """What was last told to the operator about a service."""
 
     order: int
@@ -132,7 +132,7 @@
     """
 
     def __init__(self) -> None:
-        self._by_version: dict[VersionName, Settled] = {}
+        self._by_version: dict[VersionName, SettledOrder] = {}
 
     @property
     def taken_back(self) -> frozenset[VersionName]:
@@ -144,11 +144,11 @@
         )
 
     @property
-    def known(self) -> list[Settled]:
+    def known(self) -> list[SettledOrder]:
         """All verdicts, as one daemon tells them to another."""
         return list(self._by_version.values())
 
-    def add(self, settled: Settled) -> bool:
+    def add(self, settled: SettledOrder) -> bool:
         """Take in a verdict; tells whether it was news.
 
         The order in which verdicts come does not matter.
@@ -168,7 +168,7 @@
 
 def find_shares(
     order: Order | None,
-    settled: Settled | None,
+    settled: SettledOrder | None,
     progress: Progress | None,
     *,
     taken_back: frozenset[VersionName] = frozenset(),
--- a/libs/policy/src/verbenamill_policy/rumors.py
+++ b/libs/policy/src/verbenamill_policy/rumors.py
@@ -28,7 +28,7 @@
 
 
 @unique
-class NewsKind(Enum):
+class RumorKind(Enum):
     """What a piece of news is about."""
 
     MEMBER = 'member'
@@ -37,38 +37,38 @@
     SUSPECT = 'suspect'
 
 
-class NewsKey(NamedTuple):
+class RumorKey(NamedTuple):
     """Names a piece of news; its content is looked up when it is sent.
 
     :param name: of the member's VM or of the moving service, or a fingerprint
         in hexadecimal digits.
     """
 
-    kind: NewsKind
+    kind: RumorKind
     name: str
 
 
-class HotNews:
+class ActiveRumors:
     """News that are still passed on."""
 
     def __init__(self) -> None:
-        self._rounds: dict[NewsKey, int] = {}
+        self._rounds: dict[RumorKey, int] = {}
 
     def __len__(self) -> int:
         return len(self._rounds)
 
-    def start(self, key: NewsKey) -> None:
+    def start(self, key: RumorKey) -> None:
         """Pass on something new."""
         # At the end of the order, so that a flood does not starve the rest.
         self._rounds.pop(key, None)
         self._rounds[key] = ROUNDS
 
-    def hear_again(self, key: NewsKey) -> None:
+    def record_duplicate(self, key: RumorKey) -> None:
         """Another daemon knows it already."""
         if key in self._rounds:
             self._count_round(key)
 
-    def next_round(self, limit: int) -> list[NewsKey]:
+    def next_round(self, limit: int) -> list[RumorKey]:
         """What to pass on now.
 
         :param limit: most that is passed on; the rest waits for its turn.
@@ -80,7 +80,7 @@
             self._count_round(key)
         return chosen
 
-    def _count_round(self, key: NewsKey) -> None:
+    def _count_round(self, key: RumorKey) -> None:
         self._rounds[key] -= 1
         if self._rounds[key] <= 0:
             self._rounds.pop(key)
--- a/libs/policy/src/verbenamill_policy/tallies.py
+++ b/libs/policy/src/verbenamill_policy/tallies.py
@@ -86,7 +86,7 @@
     routes: list[RouteCounts]
 
 
-class OwnCounts:
+class UpstreamCounts:
     """Counts of the own upstream."""
 
     def __init__(self) -> None:
--- a/libs/policy/tests/test_limits.py
+++ b/libs/policy/tests/test_limits.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from verbenamill_policy.limits import LimitBelief, read_rate
+from verbenamill_policy.limits import RateLimitTracker, read_rate
 
 
 @pytest.mark.parametrize(
@@ -51,55 +51,55 @@
 
 def test_an_answer_that_was_overtaken_does_not_end_a_limit():
     """Guards against a burst between two answers that name a limit."""
-    belief = LimitBelief()
-    belief.name(5, now=10)
-    assert not belief.name_none(asked_at=9.9)
+    belief = RateLimitTracker()
+    belief.record_limit(5, now=10)
+    assert not belief.record_no_limit(asked_at=9.9)
     assert belief.rate == 5
-    assert belief.name_none(asked_at=10.1)
+    assert belief.record_no_limit(asked_at=10.1)
     assert belief.rate is None
 
 
 def test_a_limit_that_is_remembered_does_not_replace_one_that_was_heard():
     """Guards against an old limit on an upstream that has said since."""
-    belief = LimitBelief()
-    belief.name_none(asked_at=1)
+    belief = RateLimitTracker()
+    belief.record_no_limit(asked_at=1)
     assert not belief.recall(3)
     assert belief.rate is None
 
 
 def test_a_limit_that_is_remembered_ends_with_the_first_answer_without_one():
-    belief = LimitBelief()
+    belief = RateLimitTracker()
     assert belief.recall(3)
-    assert belief.name_none(asked_at=1)
+    assert belief.record_no_limit(asked_at=1)
 
 
 def test_others_are_told_of_a_change_once_a_second_at_most():
     """Guards against news with each answer of an upstream in need."""
-    belief = LimitBelief()
-    told = 0
+    belief = RateLimitTracker()
+    announced = 0
     for step in range(1000):
         now = step / 100
-        belief.name(1 + step % 20, now)
-        told += belief.take_news(now)
-    assert told <= 11
+        belief.record_limit(1 + step % 20, now)
+        announced += belief.take_update(now)
+    assert announced <= 11
 
 
 def test_small_changes_are_not_told():
-    belief = LimitBelief()
-    belief.name(10, 0)
-    assert belief.take_news(0)
-    belief.name(11, 5)
-    assert not belief.take_news(5)
-    belief.name(0, 6)
-    assert belief.take_news(6)
+    belief = RateLimitTracker()
+    belief.record_limit(10, 0)
+    assert belief.take_update(0)
+    belief.record_limit(11, 5)
+    assert not belief.take_update(5)
+    belief.record_limit(0, 6)
+    assert belief.take_update(6)
 
 
 def test_a_belief_is_known_once_there_is_something_to_go_by():
     """Guards against 'no limit' from a daemon that has heard nothing."""
-    belief = LimitBelief()
+    belief = RateLimitTracker()
     assert not belief.is_known
     assert belief.recall(3)
     assert belief.is_known
-    heard = LimitBelief()
-    heard.name_none(asked_at=1)
+    heard = RateLimitTracker()
+    heard.record_no_limit(asked_at=1)
     assert heard.is_known
--- a/libs/policy/tests/test_nesting.py
+++ b/libs/policy/tests/test_nested_calls.py
@@ -1,28 +1,28 @@
 """Requests whose nested calls would find no room are refused before."""
 
-from verbenamill_policy.nesting import Nesting
+from verbenamill_policy.nested_calls import NestedCallTracker
 
 
 def learn(nesting, times):
     for _ in range(times):
-        nesting.tell_call('lookup', 'catalog')
-        nesting.tell_end('lookup')
+        nesting.record_call('lookup', 'catalog')
+        nesting.record_end('lookup')
 
 
 def tell(nesting, times, *, refused, now):
     for _ in range(times):
-        nesting.tell_outcome('lookup', 'catalog', refused=refused, now=now)
+        nesting.record_outcome('lookup', 'catalog', refused=refused, now=now)
 
 
 def learned():
-    nesting = Nesting()
+    nesting = NestedCallTracker()
     learn(nesting, 20)
     (call,) = nesting.calls_of('lookup')
     return nesting, call
 
 
 def test_calls_are_learned_from_those_that_pass():
-    nesting = Nesting()
+    nesting = NestedCallTracker()
     assert not nesting.calls_of('lookup')
     learn(nesting, 20)
     assert [call.service for call in nesting.calls_of('lookup')] == ['catalog']
@@ -30,10 +30,10 @@
 
 
 def test_calls_that_stopped_are_forgotten():
-    nesting = Nesting()
+    nesting = NestedCallTracker()
     learn(nesting, 20)
     for _ in range(100):
-        nesting.tell_end('lookup')
+        nesting.record_end('lookup')
     assert not nesting.calls_of('lookup')
 
 
--- a/libs/policy/tests/test_placement.py
+++ b/libs/policy/tests/test_placement.py
@@ -2,17 +2,24 @@
 
 from random import Random
 
-from verbenamill_policy.placement import Owner, Wish, choose, find_room
+from verbenamill_policy.placement import (
+    OwnerEstimate,
+    PlacementRequest,
+    choose_owner,
+    find_limit_wait,
+)
 
 
 def make_owner(vm, zone='a', slots=10):
-    return Owner(vm=vm, availability_zone=zone, slots=slots)
+    return OwnerEstimate(vm=vm, availability_zone=zone, slots=slots)
 
 
 def pick(owners, *, now=0, left=0.3, excluded=(), seed=1, size=2_000):
-    return choose(
+    return choose_owner(
         owners,
-        Wish(usual=0.1, left=left, size=size),
+        PlacementRequest(
+            mean_time=0.1, time_to_objective=left, byte_count=size
+        ),
         zone='a',
         excluded=excluded,
         now=now,
@@ -27,21 +34,21 @@
 
 def test_a_full_zone_spills_to_another():
     near = make_owner('near')
-    near.tell_load(30, 0)
+    near.record_load(30, 0)
     assert pick([near, make_owner('far', 'b')]).vm == 'far'
 
 
 def test_a_zone_without_others_keeps_what_it_can():
     near = make_owner('near')
-    near.tell_load(30, 0)
+    near.record_load(30, 0)
     assert pick([near]).vm == 'near'
 
 
 def test_a_slow_upstream_gets_less():
     slow = make_owner('slow')
     for _ in range(20):
-        slow.tell_time(0.5, 0.1)
-    slow.tell_load(0, 0)
+        slow.record_service_time(0.5, 0.1)
+    slow.record_load(0, 0)
     chosen = [
         pick([slow, make_owner('quick')], seed=seed).vm for seed in range(50)
     ]
@@ -54,8 +61,8 @@
     # request can show it.
     grey = make_owner('grey')
     for place in range(20):
-        grey.tell_outcome(failed=place % 2 == 0)
-    grey.tell_load(0, 0)
+        grey.record_outcome(failed=place % 2 == 0)
+    grey.record_load(0, 0)
     owners = [grey, make_owner('well')]
     soon = [pick(owners, seed=seed).vm for seed in range(50)]
     late = [pick(owners, now=30, seed=seed).vm for seed in range(50)]
@@ -74,16 +81,16 @@
 
 def test_load_that_was_told_long_ago_is_not_believed():
     owner = make_owner('one')
-    owner.tell_load(40, 0)
+    owner.record_load(40, 0)
     assert owner.expect_load(0.1) == 40
     assert owner.expect_load(5) < 1
 
 
 def make_zone(load, slots=18):
     near = make_owner('near', slots=slots)
-    near.tell_load(load, 0)
+    near.record_load(load, 0)
     far = make_owner('far', 'b', slots=slots)
-    far.tell_load(6, 0)
+    far.record_load(6, 0)
     return [near, far]
 
 
@@ -114,8 +121,8 @@
     # far by each failure, the next seconds' requests leave their zone, each
     # time, and carry their bytes across for nothing.
     near = make_owner('near')
-    near.tell_outcome(failed=True)
-    near.tell_load(3, 0)
+    near.record_outcome(failed=True)
+    near.record_load(3, 0)
     assert pick([near, make_owner('far', 'b')], left=0.5).vm == 'near'
 
 
@@ -123,14 +130,14 @@
     # A daemon sends some ten requests a second to the upstream of its zone.
     near = make_owner('near')
     for place in range(10):
-        near.tell_outcome(failed=place % 2 == 0)
-    near.tell_load(3, 0)
+        near.record_outcome(failed=place % 2 == 0)
+    near.record_load(3, 0)
     assert pick([near, make_owner('far', 'b')], left=0.5).vm == 'far'
 
 
 def limit(owner, pause, *, priority=0, now=1.0):
     """Tell of a request that its limit had no room for."""
-    owner.tell_limited(priority, pause, now, taken=True)
+    owner.record_limit_result(priority, pause, now, taken=True)
 
 
 def test_an_owner_at_its_limit_is_left_alone_until_it_has_room():
@@ -148,23 +155,23 @@
     limit(owners[0], 1.0)
     limit(owners[1], 2.0)
     assert pick(owners, now=1) is None
-    wish = Wish(usual=0.1, left=0.3)
-    assert find_room(owners, wish, excluded=(), now=1) == 1
-    assert find_room(owners, wish, excluded={'one'}, now=1) == 2
-    assert find_room([make_owner('free')], wish, excluded=(), now=1) == 0
+    wish = PlacementRequest(mean_time=0.1, time_to_objective=0.3)
+    assert find_limit_wait(owners, wish, excluded=(), now=1) == 1
+    assert find_limit_wait(owners, wish, excluded={'one'}, now=1) == 2
+    assert find_limit_wait([make_owner('free')], wish, excluded=(), now=1) == 0
 
 
 def test_what_is_more_urgent_is_not_held_up_by_what_was_told_to_others():
     limited = make_owner('limited')
     limit(limited, 4.0, priority=2)
-    assert limited.room_at(2) == 5
-    assert limited.room_at(3) == 5
-    assert limited.room_at(1) < 0
+    assert limited.limit_ready_at(2) == 5
+    assert limited.limit_ready_at(3) == 5
+    assert limited.limit_ready_at(1) < 0
 
 
 def test_a_limit_that_ends_holds_nobody_up():
     limited = make_owner('limited')
     limit(limited, 4.0)
-    limited.forget_limit()
+    limited.clear_limit()
     assert pick([limited], now=2).vm == 'limited'
     assert not limited.is_limited
--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -13,9 +13,9 @@
     MAX_CRASHES,
     MAX_RECORDS,
     SUSPICION_TIME,
-    Merge,
+    MergeResult,
     Quarantine,
-    Standing,
+    QuarantineStatus,
     Suspect,
 )
 
@@ -24,7 +24,7 @@
 CLOCKS = {'now': 10.0, 'wall': 1000.0}
 
 
-def accuse(
+def record_crash(
     quarantine,
     *crashes,
     fingerprint=FP,
@@ -33,7 +33,7 @@
     wall=1000.0,
 ):
     for crash in crashes:
-        quarantine.accuse(
+        quarantine.record_crash(
             fingerprint,
             crash,
             about='GET shop/x',
@@ -44,12 +44,12 @@
 
 
 def block(quarantine, *, fingerprint=FP):
-    accuse(quarantine, 'a/1', 'b/1', fingerprint=fingerprint)
-    accuse(quarantine, 'c/1', fingerprint=fingerprint, alone=True)
+    record_crash(quarantine, 'a/1', 'b/1', fingerprint=fingerprint)
+    record_crash(quarantine, 'c/1', fingerprint=fingerprint, alone=True)
 
 
-def judge(quarantine, fingerprint=FP, *, now=11.0, wall=1001.0):
-    return quarantine.judge(fingerprint, now=now, wall=wall)
+def find_status(quarantine, fingerprint=FP, *, now=11.0, wall=1001.0):
+    return quarantine.find_status(fingerprint, now=now, wall=wall)
 
 
 def fingerprint_of(**changed):
@@ -85,52 +85,58 @@
     assert quarantine.is_idle
     found = []
     for crash, alone in (('a/1', False), ('b/1', False), ('c/1', True)):
-        accuse(quarantine, crash, alone=alone)
-        found.append(judge(quarantine, now=10.1))
-    assert found == [Standing.WATCHED, Standing.ISOLATED, Standing.HELD]
-    assert judge(quarantine, now=10 + HOLD_TIME) is Standing.BLOCKED
+        record_crash(quarantine, crash, alone=alone)
+        found.append(find_status(quarantine, now=10.1))
+    assert found == [
+        QuarantineStatus.SUSPECTED,
+        QuarantineStatus.ISOLATED,
+        QuarantineStatus.HELD,
+    ]
+    assert (
+        find_status(quarantine, now=10 + HOLD_TIME) is QuarantineStatus.BLOCKED
+    )
 
 
 def test_a_request_that_flew_along_with_a_deadly_one_is_not_blocked():
     """Guards against blocking what was in hand at another's crashes."""
     quarantine = Quarantine()
     for crash in ('a/1', 'b/1', 'c/1'):
-        accuse(quarantine, crash)
-        accuse(quarantine, crash, fingerprint=DEADLY)
-    assert judge(quarantine) is Standing.ISOLATED
-    assert judge(quarantine, DEADLY) is Standing.ISOLATED
+        record_crash(quarantine, crash)
+        record_crash(quarantine, crash, fingerprint=DEADLY)
+    assert find_status(quarantine) is QuarantineStatus.ISOLATED
+    assert find_status(quarantine, DEADLY) is QuarantineStatus.ISOLATED
     # Alone in the run, but beside the deadly one in the upstream.
-    accuse(quarantine, 'd/1', alone=True)
-    accuse(quarantine, 'd/1', 'e/1', fingerprint=DEADLY, alone=True)
-    assert judge(quarantine) is Standing.ISOLATED
-    assert judge(quarantine, DEADLY) is Standing.BLOCKED
-    accuse(quarantine, 'f/1', alone=True)
-    assert judge(quarantine) is Standing.BLOCKED
+    record_crash(quarantine, 'd/1', alone=True)
+    record_crash(quarantine, 'd/1', 'e/1', fingerprint=DEADLY, alone=True)
+    assert find_status(quarantine) is QuarantineStatus.ISOLATED
+    assert find_status(quarantine, DEADLY) is QuarantineStatus.BLOCKED
+    record_crash(quarantine, 'f/1', alone=True)
+    assert find_status(quarantine) is QuarantineStatus.BLOCKED
 
 
 def test_one_crash_counts_once_however_many_copies_it_broke():
     quarantine = Quarantine()
-    accuse(quarantine, *('a/1' for _ in range(14)))
-    assert judge(quarantine) is Standing.WATCHED
-    assert quarantine.may_repeat(FP)
+    record_crash(quarantine, *('a/1' for _ in range(14)))
+    assert find_status(quarantine) is QuarantineStatus.SUSPECTED
+    assert quarantine.may_retry(FP)
 
 
 def test_a_request_that_completes_is_innocent():
     """Guards against refusing a popular request for others' crashes."""
     quarantine = Quarantine()
     block(quarantine)
-    quarantine.share(FP)
-    assert quarantine.clear(FP, **CLOCKS)
-    assert judge(quarantine) is Standing.CLEAR
+    quarantine.mark_shared(FP)
+    assert quarantine.record_completion(FP, **CLOCKS)
+    assert find_status(quarantine) is QuarantineStatus.CLEAR
     assert quarantine.is_idle
-    accuse(quarantine, 'd/1')
-    assert judge(quarantine) is Standing.WATCHED
+    record_crash(quarantine, 'd/1')
+    assert find_status(quarantine) is QuarantineStatus.SUSPECTED
 
 
 def test_a_suspicion_that_nobody_heard_of_leaves_no_trace():
     quarantine = Quarantine()
-    accuse(quarantine, 'a/1')
-    assert not quarantine.clear(FP, **CLOCKS)
+    record_crash(quarantine, 'a/1')
+    assert not quarantine.record_completion(FP, **CLOCKS)
     assert not len(quarantine)
 
 
@@ -139,14 +145,17 @@
     quarantine = Quarantine()
     block(quarantine)
     end = 1000 + BLOCK_TIME
-    assert judge(quarantine, wall=end - 1) is Standing.BLOCKED
-    assert judge(quarantine, wall=end + 1) is Standing.ISOLATED
-    assert not quarantine.may_repeat(FP)
-    accuse(quarantine, 'd/1', wall=end + 1)
-    assert judge(quarantine, wall=end + 2) is Standing.BLOCKED
-    assert judge(quarantine, wall=end + 2 + BLOCK_TIME) is Standing.BLOCKED
+    assert find_status(quarantine, wall=end - 1) is QuarantineStatus.BLOCKED
+    assert find_status(quarantine, wall=end + 1) is QuarantineStatus.ISOLATED
+    assert not quarantine.may_retry(FP)
+    record_crash(quarantine, 'd/1', wall=end + 1)
+    assert find_status(quarantine, wall=end + 2) is QuarantineStatus.BLOCKED
+    assert (
+        find_status(quarantine, wall=end + 2 + BLOCK_TIME)
+        is QuarantineStatus.BLOCKED
+    )
     for number in range(20):
-        accuse(quarantine, f'e{number}/1', wall=end + 2)
+        record_crash(quarantine, f'e{number}/1', wall=end + 2)
     (record,) = quarantine
     assert record.block_time == LONGEST_BLOCK
     assert len(record.crashes) == MAX_CRASHES
@@ -157,20 +166,23 @@
     for quarantine in (first, last):
         block(quarantine)
     wall = 1000 + BLOCK_TIME + 1
-    assert judge(first, wall=wall) is Standing.ISOLATED
-    assert judge(last, wall=wall) is Standing.BLOCKED
+    assert find_status(first, wall=wall) is QuarantineStatus.ISOLATED
+    assert find_status(last, wall=wall) is QuarantineStatus.BLOCKED
 
 
 def test_a_clock_that_jumps_by_seconds_neither_blocks_nor_frees():
     quarantine = Quarantine()
     block(quarantine)
     for jump in (-30, 30):
-        assert judge(quarantine, wall=1000 + jump) is Standing.BLOCKED
+        assert (
+            find_status(quarantine, wall=1000 + jump)
+            is QuarantineStatus.BLOCKED
+        )
 
 
 def test_old_suspicions_are_forgotten_and_blocks_are_not():
     quarantine = Quarantine()
-    accuse(quarantine, 'a/1')
+    record_crash(quarantine, 'a/1')
     block(quarantine, fingerprint=DEADLY)
     quarantine.sweep(wall=1000 + SUSPICION_TIME + 1)
     assert [one.fingerprint for one in quarantine] == [DEADLY]
@@ -185,9 +197,11 @@
     block(quarantine)
     for number in range(3 * MAX_RECORDS):
         fingerprint = number.to_bytes(16, 'big')
-        accuse(quarantine, 'd/1', 'e/1', fingerprint=fingerprint, wall=2000)
+        record_crash(
+            quarantine, 'd/1', 'e/1', fingerprint=fingerprint, wall=2000
+        )
     assert len(quarantine) == MAX_RECORDS
-    assert judge(quarantine) is Standing.BLOCKED
+    assert find_status(quarantine) is QuarantineStatus.BLOCKED
 
 
 def test_what_another_program_wrote_is_not_taken_in():
@@ -202,7 +216,7 @@
         Suspect(fingerprint=FP, crashes=('a',), round=-1),
         Suspect(fingerprint=FP, crashes=('a',), alone=('b', 'a')),
     ):
-        assert quarantine.merge(record, now=0) is Merge.KNOWN
+        assert quarantine.merge(record, now=0) is MergeResult.KNOWN
     assert quarantine.is_idle
 
 
@@ -234,7 +248,7 @@
         other.merge(record, now=0)
     assert _content(one) == _content(other)
     assert one.digest == other.digest
-    assert one.accused == sum(bool(each.crashes) for each in one)
+    assert one.suspected_count == sum(bool(each.crashes) for each in one)
 
 
 @settings(derandomize=True, max_examples=100)
@@ -245,9 +259,9 @@
         quarantine.merge(each, now=0)
     before = _content(quarantine)
     result = quarantine.merge(record, now=0)
-    assert (result is Merge.NEWS) == (_content(quarantine) != before)
+    assert (result is MergeResult.CHANGED) == (_content(quarantine) != before)
     known = quarantine.get(record.fingerprint)
-    if result is Merge.KNOWN:
+    if result is MergeResult.KNOWN:
         assert known == record
     if known.round == record.round:
         assert set(known.crashes) >= set(record.crashes[:BLOCK_AFTER]) or (
--- a/libs/policy/tests/test_returning.py
+++ b/libs/policy/tests/test_retry_detection.py
@@ -2,14 +2,14 @@
 
 from random import Random
 
-from verbenamill_policy.returning import Returning
+from verbenamill_policy.retry_detection import RetryDetector
 
 
 def test_who_comes_back_is_known_by_the_time_that_is_left():
     # In overload each second request is one that was refused and comes back
     # with what is left of its 2 s. All first requests give 2 s.
     random = Random(3)
-    returning = Returning()
+    returning = RetryDetector()
     for _ in range(200):
         returning.elapsed('r', 2000)
         returning.elapsed('r', random.randrange(1300, 1990))
@@ -19,7 +19,7 @@
 
 def test_nothing_is_concluded_where_every_caller_gives_another_time():
     random = Random(3)
-    returning = Returning()
+    returning = RetryDetector()
     told = [returning.elapsed('r', random.randrange(500, 5000))]
     told += [
         returning.elapsed('r', random.randrange(500, 5000)) for _ in range(300)
@@ -28,14 +28,14 @@
 
 
 def test_one_patient_caller_makes_nobody_else_look_late():
-    returning = Returning()
+    returning = RetryDetector()
     for place in range(300):
         patient = place % 10 == 0
         assert not returning.elapsed('r', 60_000 if patient else 2000)
 
 
 def test_callers_that_give_another_time_from_now_on_are_learned():
-    returning = Returning()
+    returning = RetryDetector()
     for _ in range(300):
         returning.elapsed('r', 5000)
     for _ in range(100):
@@ -44,7 +44,7 @@
 
 
 def test_routes_are_told_apart():
-    returning = Returning()
+    returning = RetryDetector()
     for _ in range(50):
         returning.elapsed('slow', 8000)
         assert returning.elapsed('quick', 500) == 0
--- a/libs/policy/tests/test_rollouts.py
+++ b/libs/policy/tests/test_rollouts.py
@@ -6,20 +6,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from verbenamill_policy.deciding import Situation, decide
+from verbenamill_policy.move_decision import MoveContext, decide
 from verbenamill_policy.evidence import Evidence
 from verbenamill_policy.rollouts import (
     LAST_STAGE,
     STAGES,
     Order,
     Progress,
-    Settled,
+    SettledOrder,
     Verdict,
     VersionCounter,
     find_shares,
     merge_progress,
 )
-from verbenamill_policy.tallies import OwnCounts
+from verbenamill_policy.tallies import UpstreamCounts
 
 ORDER = Order(id=7, service='s', target='v2', window=14)
 progresses = st.builds(
@@ -57,13 +57,13 @@
     [(Verdict.DONE, 1), (Verdict.TAKEN_BACK, 0)],
 )
 def test_a_verdict_needs_nothing_else(verdict, share):
-    settled = Settled(order=7, service='s', target='v2', verdict=verdict)
+    settled = SettledOrder(order=7, service='s', target='v2', verdict=verdict)
     assert find_shares(None, settled, None).share == share
     assert find_shares(ORDER, settled, None).share == share
 
 
 def test_an_old_verdict_says_nothing_of_a_new_order():
-    settled = Settled(
+    settled = SettledOrder(
         order=3,
         service='s',
         target='v2',
@@ -87,7 +87,7 @@
         self.owners = {}
         for version in ('v1', 'v2', 'v3'):
             for place, speed in enumerate(speeds):
-                counts = OwnCounts()
+                counts = UpstreamCounts()
                 counts.begin(f'{version}{place}')
                 self.owners[version, place] = (counts, speed)
 
@@ -312,7 +312,7 @@
 
 
 def situation(elapsed, stage, evidence, **more):
-    return Situation(
+    return MoveContext(
         window=14,
         elapsed=elapsed,
         in_stage=more.get('in_stage', 3),
--- a/libs/sidecar/src/verbenamill_sidecar/announcements.py
+++ b/libs/sidecar/src/verbenamill_sidecar/announcements.py
@@ -7,7 +7,7 @@
 
 from verbenamill_http.server import Request, Response
 from verbenamill_model.typing import UpstreamState
-from verbenamill_policy.heartbeats import Belief, Heartbeat
+from verbenamill_policy.heartbeats import HeartbeatResult, Heartbeat
 from verbenamill_sidecar.owner import OwnUpstream
 from verbenamill_sidecar.protocol import (
     LeaveAnnouncement,
@@ -83,7 +83,7 @@
             log(Event.ANNOUNCEMENT_REFUSED, reason=reason)
             return refusal(HTTPStatus.BAD_REQUEST, reason)
         belief = self._own.take(beat)
-        if belief is not Belief.KNOWN:
+        if belief is not HeartbeatResult.UNCHANGED:
             log(
                 Event.UPSTREAM_HEARTBEAT,
                 instance=beat.instance,
@@ -94,7 +94,7 @@
                 born=beat.born,
                 belief=belief.value,
             )
-        if belief is Belief.ELSEWHERE:
+        if belief is HeartbeatResult.OTHER_ADDRESS:
             reason = f'{beat.address} is not the upstream beside this daemon'
             return refusal(HTTPStatus.BAD_REQUEST, reason)
         return _accepted()
--- a/libs/sidecar/src/verbenamill_sidecar/call.py
+++ b/libs/sidecar/src/verbenamill_sidecar/call.py
@@ -8,7 +8,7 @@
 from verbenamill_http.messages import Header, get_header
 from verbenamill_model.typing import ServiceName
 from verbenamill_policy.fingerprints import Fingerprint, take_fingerprint
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.quarantine import CrashId
 from verbenamill_policy.routes import Route
 
@@ -109,7 +109,7 @@
     load: int = -1
     crash: CrashId | None = None
     blocked: bool = False
-    limit: NamedLimit | None = None
+    limit: RateLimit | None = None
     knows_limit: bool = False
     pause: float = 0
     has_left: bool = False
--- a/libs/sidecar/src/verbenamill_sidecar/crashing.py
+++ b/libs/sidecar/src/verbenamill_sidecar/crashing.py
@@ -9,7 +9,7 @@
 from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import UpstreamState
 from verbenamill_policy.fingerprints import Fingerprint
-from verbenamill_policy.heartbeats import UpstreamRegister
+from verbenamill_policy.heartbeats import UpstreamTracker
 from verbenamill_policy.members import UpstreamRecord
 from verbenamill_policy.quarantine import CrashId
 from verbenamill_sidecar.call import Call
@@ -38,25 +38,25 @@
 
     :param lose: told that nobody listens at the upstream's address.
     :param in_hand: fingerprints of the requests that the upstream runs.
-    :param accuse: told of a request that was lost in a crash which was found
-        out only later.
+    :param record_crash: told of a request that was lost in a crash which was
+        found out only later.
     """
 
     def __init__(
         self,
-        register: UpstreamRegister,
+        register: UpstreamTracker,
         pool: ConnectionPool,
         *,
         lose: Callable[[UpstreamRecord], None],
         in_hand: Callable[[], Iterable[Fingerprint]],
-        accuse: Callable[[Identity, CrashId], None],
+        record_crash: Callable[[Identity, CrashId], None],
     ) -> None:
         self.count = 0
         self._register = register
         self._pool = pool
         self._lose = lose
         self._in_hand = in_hand
-        self._accuse = accuse
+        self._accuse = record_crash
         self._lost: deque[_Lost] = deque(maxlen=_MOST_LOST)
         self._newest: CrashId | None = None
         self._looking = trio.Lock()
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -424,7 +424,7 @@
             ),
             'requests_suspected': (
                 'Requests under which upstreams crashed, blocked or not.',
-                self._gate.quarantine.accused,
+                self._gate.quarantine.suspected_count,
             ),
             'requests_blocked': (
                 'Requests that are refused for that.',
--- a/libs/sidecar/src/verbenamill_sidecar/datagrams.py
+++ b/libs/sidecar/src/verbenamill_sidecar/datagrams.py
@@ -8,7 +8,7 @@
 from verbenamill_model.typing import AvailabilityZone, VmId
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.quarantine import Suspect
-from verbenamill_policy.rollouts import Progress, Settled
+from verbenamill_policy.rollouts import Progress, SettledOrder
 from verbenamill_policy.tallies import Tally
 
 
@@ -17,7 +17,7 @@
 
     members: list[MemberRecord] = []
     progress: list[Progress] = []
-    settled: list[Settled] = []
+    settled: list[SettledOrder] = []
     suspects: list[Suspect] = []
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/desired_state.py
+++ b/libs/sidecar/src/verbenamill_sidecar/desired_state.py
@@ -11,7 +11,7 @@
     LAST_STAGE,
     Order,
     Progress,
-    Settled,
+    SettledOrder,
     Shares,
     Verdict,
     Verdicts,
@@ -37,9 +37,9 @@
 
     configuration: Configuration | None = None
     orders: dict[ServiceName, Order] = {}
-    settled: dict[ServiceName, Settled] = {}
+    settled: dict[ServiceName, SettledOrder] = {}
     progress: dict[ServiceName, Progress] = {}
-    verdicts: list[Settled] = []
+    verdicts: list[SettledOrder] = []
     has_verdicts: bool = False
 
 
@@ -186,13 +186,13 @@
         )
         return True
 
-    def take_settlements(self, settled: Iterable[Settled]) -> None:
+    def take_settlements(self, settled: Iterable[SettledOrder]) -> None:
         """Take in all verdicts of the store."""
         for one in settled:
             self.take_settled(one)
         self._known.has_verdicts = True
 
-    def take_settled(self, settled: Settled) -> bool:
+    def take_settled(self, settled: SettledOrder) -> bool:
         """Take in a verdict, unless one of a later order is known."""
         if self._verdicts_of(settled.service).add(settled):
             self._change(settled.service)
@@ -263,7 +263,7 @@
         self.changes += 1
 
 
-def _rank(settled: Settled) -> tuple[int, bool]:
+def _rank(settled: SettledOrder) -> tuple[int, bool]:
     return settled.order, settled.verdict is not Verdict.RUNNING
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/dissemination.py
+++ b/libs/sidecar/src/verbenamill_sidecar/dissemination.py
@@ -9,14 +9,14 @@
     MemberTable,
     UpstreamRecord,
 )
-from verbenamill_policy.quarantine import Merge, Suspect
-from verbenamill_policy.rollouts import Progress, Settled
+from verbenamill_policy.quarantine import MergeResult, Suspect
+from verbenamill_policy.rollouts import Progress, SettledOrder
 from verbenamill_policy.rumors import (
     FANOUT,
-    HotNews,
+    ActiveRumors,
     Neighbours,
-    NewsKey,
-    NewsKind,
+    RumorKey,
+    RumorKind,
 )
 from verbenamill_sidecar.datagrams import Message, Records, Rumors
 from verbenamill_sidecar.desired_state import DesiredState
@@ -64,9 +64,9 @@
         self._wishes = wishes
         self._send = send
         self._recall = recall
-        self._hot = HotNews()
-        self._hot_suspects = HotNews()
-        self._exports: dict[NewsKey, None] = {}
+        self._hot = ActiveRumors()
+        self._hot_suspects = ActiveRumors()
+        self._exports: dict[RumorKey, None] = {}
         table.merge(own)
 
     @property
@@ -114,34 +114,34 @@
                     self._hot.start(_member_key(record.vm))
                     self._relay(record)
             else:
-                self._hot.hear_again(_member_key(record.vm))
+                self._hot.record_duplicate(_member_key(record.vm))
 
     def take_progress(self, progress: Progress) -> None:
         """Take in how far a move is, and pass it on."""
-        key = NewsKey(NewsKind.PROGRESS, progress.service)
+        key = RumorKey(RumorKind.PROGRESS, progress.service)
         if self._wishes.take_progress(progress):
             self._hot.start(key)
         else:
-            self._hot.hear_again(key)
+            self._hot.record_duplicate(key)
 
-    def take_settled(self, settled: Settled) -> None:
+    def take_settled(self, settled: SettledOrder) -> None:
         """Take in a verdict, and pass it on."""
-        key = NewsKey(NewsKind.VERDICT, settled.service)
+        key = RumorKey(RumorKind.VERDICT, settled.service)
         if self._wishes.take_settled(settled):
             self._hot.start(key)
         else:
-            self._hot.hear_again(key)
+            self._hot.record_duplicate(key)
 
     def tell_progress(self, progress: Progress) -> None:
         """Tell how far a move is that this daemon decides."""
         if self._wishes.take_progress(progress):
-            self._publish(NewsKey(NewsKind.PROGRESS, progress.service))
+            self._publish(RumorKey(RumorKind.PROGRESS, progress.service))
             self.next_round()
 
-    def tell_settled(self, settled: Settled) -> None:
+    def tell_settled(self, settled: SettledOrder) -> None:
         """Tell a verdict that this daemon has written."""
         if self._wishes.take_settled(settled):
-            self._publish(NewsKey(NewsKind.VERDICT, settled.service))
+            self._publish(RumorKey(RumorKind.VERDICT, settled.service))
             self.next_round()
 
     def tell_suspect(self, fingerprint: Fingerprint) -> None:
@@ -155,8 +155,8 @@
         """Take in what others know of requests, and pass on what is new."""
         for suspect in suspects:
             key = _suspect_key(suspect.fingerprint)
-            if self._gate.merge(suspect) is not Merge.NEWS:
-                self._hot_suspects.hear_again(key)
+            if self._gate.merge(suspect) is not MergeResult.CHANGED:
+                self._hot_suspects.record_duplicate(key)
                 continue
             self._hot_suspects.start(key)
             if self._neighbours.is_relay():
@@ -169,7 +169,7 @@
         if self._exports:
             self._export()
 
-    def _publish(self, key: NewsKey) -> None:
+    def _publish(self, key: RumorKey) -> None:
         """Pass on news that this daemon makes, to all zones."""
         self._hot.start(key)
         self._exports[key] = None
@@ -212,29 +212,29 @@
                 for message in messages:
                     self._send(record, message)
 
-    def _resolve(self, keys: Iterable[NewsKey]) -> list[Rumors]:
+    def _resolve(self, keys: Iterable[RumorKey]) -> list[Rumors]:
         """Messages that carry some news, as they are now."""
         members: list[MemberRecord] = []
         moves = Rumors([], [], [])
         suspects: list[Suspect] = []
         for key in keys:
             match key.kind:
-                case NewsKind.MEMBER:
+                case RumorKind.MEMBER:
                     record = self._table.get(VmId(key.name))
                     members += [] if record is None else [record]
-                case NewsKind.PROGRESS:
+                case RumorKind.PROGRESS:
                     known = self._wishes.known.progress
                     moves.progress.append(known[ServiceName(key.name)])
-                case NewsKind.VERDICT:
+                case RumorKind.VERDICT:
                     verdicts = self._wishes.known.settled
                     moves.settled.append(verdicts[ServiceName(key.name)])
-                case NewsKind.SUSPECT:
+                case RumorKind.SUSPECT:
                     suspects += self._find_suspect(key)
         messages = [Rumors(chunk) for chunk in split_records(members)]
         messages += pack_suspects(suspects)
         return messages if moves == Rumors() else [moves, *messages]
 
-    def _find_suspect(self, key: NewsKey) -> list[Suspect]:
+    def _find_suspect(self, key: RumorKey) -> list[Suspect]:
         """The record that news are about, unless it was forgotten since."""
         fingerprint = Fingerprint(bytes.fromhex(key.name))
         found = self._gate.quarantine.get(fingerprint)
@@ -314,12 +314,12 @@
     ]
 
 
-def _suspect_key(fingerprint: Fingerprint) -> NewsKey:
-    return NewsKey(NewsKind.SUSPECT, fingerprint.hex())
+def _suspect_key(fingerprint: Fingerprint) -> RumorKey:
+    return RumorKey(RumorKind.SUSPECT, fingerprint.hex())
 
 
-def _member_key(vm: VmId) -> NewsKey:
-    return NewsKey(NewsKind.MEMBER, vm)
+def _member_key(vm: VmId) -> RumorKey:
+    return RumorKey(RumorKind.MEMBER, vm)
 
 
 def _rate_of(upstream: UpstreamRecord | None) -> float | None:
--- a/libs/sidecar/src/verbenamill_sidecar/gossip.py
+++ b/libs/sidecar/src/verbenamill_sidecar/gossip.py
@@ -21,7 +21,7 @@
     UpstreamRecord,
 )
 from verbenamill_policy.quarantine import Suspect
-from verbenamill_policy.rollouts import Progress, Settled
+from verbenamill_policy.rollouts import Progress, SettledOrder
 from verbenamill_policy.rumors import Neighbours
 from verbenamill_policy.tallies import Tally
 from verbenamill_sidecar.datagrams import (
@@ -215,7 +215,7 @@
         """Tell how far a move is that this daemon decides."""
         self._news.tell_progress(progress)
 
-    def tell_settled(self, settled: Settled) -> None:
+    def tell_settled(self, settled: SettledOrder) -> None:
         """Tell a verdict that this daemon knows of the store."""
         self._news.tell_settled(settled)
 
--- a/libs/sidecar/src/verbenamill_sidecar/hop.py
+++ b/libs/sidecar/src/verbenamill_sidecar/hop.py
@@ -17,7 +17,7 @@
     ServiceName,
     VersionName,
 )
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.quarantine import CrashId
 from verbenamill_policy.routes import RouteKind
 from verbenamill_sidecar.call import Fate, Outcome
@@ -60,7 +60,7 @@
     sent: int = 0
     is_alone: bool = False
     born: int = 0
-    limit: NamedLimit | None = None
+    limit: RateLimit | None = None
 
 
 class OwnerReport(Struct, kw_only=True, array_like=True):
@@ -87,7 +87,7 @@
     usual: int = -1
     crash: str = ''
     blocked: bool = False
-    limit: NamedLimit | None = None
+    limit: RateLimit | None = None
     pause: int = 0
     has_left: bool = False
     knows_limit: bool = False
--- a/libs/sidecar/src/verbenamill_sidecar/ingress.py
+++ b/libs/sidecar/src/verbenamill_sidecar/ingress.py
@@ -9,7 +9,11 @@
 from verbenamill_http.server import Request, Response
 from verbenamill_model.typing import ServiceName
 from verbenamill_policy.budget import RetryBudget
-from verbenamill_policy.placement import Owner, choose, find_room
+from verbenamill_policy.placement import (
+    OwnerEstimate,
+    choose_owner,
+    find_limit_wait,
+)
 from verbenamill_policy.rollouts import Shares, VersionCounter
 from verbenamill_sidecar.call import RETRIED, Call, Fate, Outcome, not_run
 from verbenamill_sidecar.ingress_context import IngressContext
@@ -76,7 +80,7 @@
             return
         if status >= _FAILURE:
             parent.nested_status = status
-        self._context.own.nesting.tell_outcome(
+        self._context.own.nesting.record_outcome(
             parent.route.name,
             call.service,
             refused=status == HTTPStatus.SERVICE_UNAVAILABLE and not blocked,
@@ -131,7 +135,7 @@
             tries.end(*ended)
             crash = ended[1].crash
             if crash is not None:
-                self._context.gate.accuse(identify(call), crash)
+                self._context.gate.record_crash(identify(call), crash)
             # The other try may still make a better answer, and a refusal
             # would say "not run", which nobody knows of it yet.
             decides = not race.under_way or _is_good(ended[1])
@@ -187,9 +191,11 @@
         """The best owner of some; ``None`` if none can serve in time."""
         context = self._context
         now = trio.current_time()
-        by_owner: dict[Owner, Peer] = {peer.owner: peer for peer in peers}
+        by_owner: dict[OwnerEstimate, Peer] = {
+            peer.owner: peer for peer in peers
+        }
         wish = self._learned.wish(call, now)
-        owner = choose(
+        owner = choose_owner(
             list(by_owner),
             wish,
             zone=context.availability_zone,
@@ -200,7 +206,7 @@
         if owner is not None:
             return by_owner[owner]
         tries.see_limits(
-            find_room(list(by_owner), wish, excluded=tries.vms, now=now),
+            find_limit_wait(list(by_owner), wish, excluded=tries.vms, now=now),
         )
         return None
 
@@ -270,7 +276,7 @@
         if seen >= call.route.max_attempts:
             return False
         gate = self._context.gate
-        if not gate.is_idle and not gate.may_repeat(call):
+        if not gate.is_idle and not gate.may_retry(call):
             return False
         left = call.deadline - trio.current_time()
         return left >= _RETRY_ROOM * self._learned.usual(call.route)
--- a/libs/sidecar/src/verbenamill_sidecar/learned.py
+++ b/libs/sidecar/src/verbenamill_sidecar/learned.py
@@ -3,8 +3,8 @@
 import trio
 
 from verbenamill_model.typing import RouteName
-from verbenamill_policy.placement import Owner, Wish
-from verbenamill_policy.returning import Returning
+from verbenamill_policy.placement import OwnerEstimate, PlacementRequest
+from verbenamill_policy.retry_detection import RetryDetector
 from verbenamill_policy.routes import Route
 from verbenamill_policy.service_times import ServiceTimes
 from verbenamill_sidecar.call import RETRIED, Call, Fate, Outcome
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self._times = ServiceTimes(halves=_FLEET_HALVES)
-        self._returning = Returning()
+        self._returning = RetryDetector()
         self._sizes: dict[RouteName, float] = {}
 
     def usual(self, route: Route) -> float:
@@ -36,29 +36,29 @@
         """
         return self._returning.elapsed(route.name, told)
 
-    def wish(self, call: Call, now: float) -> Wish:
+    def wish(self, call: Call, now: float) -> PlacementRequest:
         """What a request expects of an owner."""
         route = call.route
         patience = call.deadline - now
-        return Wish(
-            usual=self.usual(route),
-            spread=self._times.spread(route.name),
-            left=max(call.objective - now, patience / 2),
-            patience=patience,
-            size=len(call.body) + self._sizes.get(route.name, 0),
+        return PlacementRequest(
+            mean_time=self.usual(route),
+            log_deviation=self._times.spread(route.name),
+            time_to_objective=max(call.objective - now, patience / 2),
+            time_to_deadline=patience,
+            byte_count=len(call.body) + self._sizes.get(route.name, 0),
             priority=route.priority,
         )
 
-    def learn(self, call: Call, owner: Owner, outcome: Outcome) -> None:
+    def learn(self, call: Call, owner: OwnerEstimate, outcome: Outcome) -> None:
         """Take in what became of a request at an owner."""
         now = trio.current_time()
         if outcome.load >= 0:
-            owner.tell_load(outcome.load, now)
+            owner.record_load(outcome.load, now)
         if outcome.knows_limit:
             _learn_limit(call, owner, outcome, now)
         if outcome.took is not None:
             told = outcome.usual or outcome.took
-            owner.tell_time(told, self.usual(call.route))
+            owner.record_service_time(told, self.usual(call.route))
             self._times.add(call.route.name, outcome.took, now)
         answer = outcome.answer
         if answer is not None:
@@ -66,7 +66,7 @@
         is_at_limit = outcome.fate is Fate.NOT_RUN and outcome.limit is not None
         if outcome.reached and not is_at_limit:
             failed = answer is None or answer.status in RETRIED
-            owner.tell_outcome(failed=failed and not outcome.everywhere)
+            owner.record_outcome(failed=failed and not outcome.everywhere)
 
     def _learn_size(self, route: RouteName, size: int) -> None:
         known = self._sizes.get(route, size)
@@ -75,14 +75,14 @@
 
 def _learn_limit(
     call: Call,
-    owner: Owner,
+    owner: OwnerEstimate,
     outcome: Outcome,
     now: float,
 ) -> None:
     if outcome.limit is None:
-        owner.forget_limit()
+        owner.clear_limit()
         return
-    owner.tell_limited(
+    owner.record_limit_result(
         call.route.priority,
         outcome.pause,
         now,
--- a/libs/sidecar/src/verbenamill_sidecar/limiting.py
+++ b/libs/sidecar/src/verbenamill_sidecar/limiting.py
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from verbenamill_policy.admission import Admission
-from verbenamill_policy.heartbeats import UpstreamRegister
-from verbenamill_policy.limits import LimitBelief, NamedLimit
+from verbenamill_policy.heartbeats import UpstreamTracker
+from verbenamill_policy.limits import RateLimitTracker, RateLimit
 from verbenamill_sidecar.in_band import InBand
 from verbenamill_telemetry import Event, log
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        register: UpstreamRegister,
+        register: UpstreamTracker,
         *,
         changed: Callable[[], None],
         wall_ms: Callable[[], int],
@@ -52,11 +52,11 @@
         self._register = register
         self._changed = changed
         self._wall_ms = wall_ms
-        self._belief = LimitBelief()
+        self._belief = RateLimitTracker()
         self._admission = Admission(slots=1)
 
     @property
-    def limit(self) -> NamedLimit | None:
+    def limit(self) -> RateLimit | None:
         """The limit as others are told of it."""
         current = self._register.current
         return None if current is None else current.limit
@@ -73,7 +73,7 @@
 
     def begin(self, admission: Admission) -> None:
         """Another start of an upstream is there; an old limit is void."""
-        self._belief = LimitBelief()
+        self._belief = RateLimitTracker()
         self._admission = admission
         if self.limit is not None:
             self.recall(self.limit)
@@ -85,14 +85,14 @@
         """
         before = self._belief.rate
         if said.limit is not None:
-            self._belief.name(said.limit, trio.current_time())
+            self._belief.record_limit(said.limit, trio.current_time())
         elif said.names_none:
-            self._belief.name_none(asked_at=asked_at)
+            self._belief.record_no_limit(asked_at=asked_at)
         if self._belief.rate != before:
             self._admission.set_rate(self._belief.rate, trio.current_time())
         self.share()
 
-    def recall(self, limit: NamedLimit) -> None:
+    def recall(self, limit: RateLimit) -> None:
         """Heed what others remember of this start of the upstream.
 
         A daemon that has just started has counted nothing, and has heard no
@@ -105,8 +105,8 @@
 
     def share(self, source: Source = Source.ANSWER) -> None:
         """Tell others of a change, if there is one and they may be told."""
-        before = self._belief.told
-        if not self._belief.take_news(trio.current_time()):
+        before = self._belief.announced
+        if not self._belief.take_update(trio.current_time()):
             return
         rate = self._belief.rate
         known = self.limit
@@ -114,7 +114,7 @@
             self._register.set_limit(None)
         else:
             since = self._wall_ms() if known is None else known.since
-            self._register.set_limit(NamedLimit(rate, since))
+            self._register.set_limit(RateLimit(rate, since))
         self._log(rate, before, source)
         self._changed()
 
--- a/libs/sidecar/src/verbenamill_sidecar/owner.py
+++ b/libs/sidecar/src/verbenamill_sidecar/owner.py
@@ -13,14 +13,22 @@
     UpstreamState,
     VersionName,
 )
-from verbenamill_policy.admission import Admission, Entry, Ticket
+from verbenamill_policy.admission import (
+    Admission,
+    AdmissionResult,
+    AdmissionRequest,
+)
 from verbenamill_policy.fingerprints import Fingerprint
-from verbenamill_policy.heartbeats import Belief, Heartbeat, UpstreamRegister
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.heartbeats import (
+    HeartbeatResult,
+    Heartbeat,
+    UpstreamTracker,
+)
+from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.members import UpstreamRecord
-from verbenamill_policy.nesting import NestedCall, Nesting
+from verbenamill_policy.nested_calls import NestedCall, NestedCallTracker
 from verbenamill_policy.quarantine import CrashId
-from verbenamill_policy.tallies import OwnCounts
+from verbenamill_policy.tallies import UpstreamCounts
 from verbenamill_sidecar.call import Call, Fate, Outcome, not_run, unknown
 from verbenamill_sidecar.crashing import CrashDetector
 from verbenamill_sidecar.in_band import read_in_band
@@ -77,9 +85,9 @@
     """Slots, queue, connections and counts of the own upstream."""
 
     def __init__(self, context: OwnerContext) -> None:
-        self.register = UpstreamRegister(str(context.address))
-        self.counts = OwnCounts()
-        self.nesting = Nesting()
+        self.register = UpstreamTracker(str(context.address))
+        self.counts = UpstreamCounts()
+        self.nesting = NestedCallTracker()
         self.is_stopping = False
         self.in_hand = 0
         self._context = context
@@ -101,7 +109,7 @@
             self._pool,
             lose=self._lose,
             in_hand=self._fingerprints,
-            accuse=self._accuse,
+            record_crash=self._accuse,
         )
 
     @property
@@ -119,10 +127,10 @@
         """Requests in the queue."""
         return self._admission.waiting
 
-    def take(self, beat: Heartbeat) -> Belief:
+    def take(self, beat: Heartbeat) -> HeartbeatResult:
         """Take in a heartbeat; who drains gets no work from now on."""
-        belief = self.register.take(beat)
-        if belief is Belief.NEWS:
+        belief = self.register.update(beat)
+        if belief is HeartbeatResult.CHANGED:
             if beat.cold > 0:
                 self._warm_at = trio.current_time() + beat.cold
             self._adopt()
@@ -150,7 +158,7 @@
         self,
         instance: str,
         born: int,
-        limit: NamedLimit,
+        limit: RateLimit,
     ) -> None:
         """Heed a limit that others remember of one start of an upstream."""
         if (instance, born) == self._instance:
@@ -284,11 +292,11 @@
     async def _run(self, call: Call, upstream: UpstreamRecord) -> Outcome:
         admission = self._admission
         now = trio.current_time()
-        settled: list[Entry] = []
+        settled: list[AdmissionResult] = []
         event = trio.Event()
-        ticket = Ticket(
+        ticket = AdmissionRequest(
             route=call.route.name,
-            span=call.route.objective,
+            latency_objective=call.route.objective,
             priority=call.route.priority,
             arrived=now,
             due=call.objective,
@@ -300,20 +308,20 @@
                 else min(call.objective, call.deadline)
             ),
             deadline=call.deadline,
-            settle=partial(_settle, settled, event),
+            on_settled=partial(_settle, settled, event),
         )
-        entry = admission.enter(ticket, now)
+        entry = admission.acquire(ticket, now)
         started: float | None = None
         took: float | None = None
         try:
             if entry is None:
                 await _wait_settled(admission, event)
                 entry = settled[0]
-            if entry is Entry.SHED or self._is_withdrawn(upstream):
+            if entry is AdmissionResult.SHED or self._is_withdrawn(upstream):
                 return self._no_room(admission)
             blocked_for = self._context.gate.blocked_for(call)
             if blocked_for:
-                admission.count_unsent(trio.current_time())
+                admission.record_unsent(trio.current_time())
                 return _refuse_blocked(blocked_for)
             started = trio.current_time()
             outcome = await self._send_known(call, upstream)
@@ -325,7 +333,7 @@
     def _free(
         self,
         admission: Admission,
-        ticket: Ticket,
+        ticket: AdmissionRequest,
         call: Call,
         started: float | None,
         took: float | None,
@@ -333,7 +341,7 @@
         now = trio.current_time()
         if started is not None and took is None:
             took = self._slow_time(admission, call, now - started)
-        admission.leave(ticket, now, took=took)
+        admission.release(ticket, now, took=took)
 
     def _is_withdrawn(self, upstream: UpstreamRecord) -> bool:
         """Whether the upstream left while the request waited."""
@@ -346,7 +354,7 @@
         )
 
     def _no_room(self, admission: Admission) -> Outcome:
-        wait = admission.wait_behind(admission.waiting, trio.current_time())
+        wait = admission.expected_wait(admission.waiting, trio.current_time())
         rate = self.limits.rate
         if rate is None:
             return not_run('no slot in time', wait=wait)
@@ -382,7 +390,7 @@
             return await self._send_shielded(call, upstream)
         finally:
             self._calls.pop(call.id, None)
-            self.nesting.tell_end(call.route.name)
+            self.nesting.record_end(call.route.name)
 
     async def _send_shielded(
         self,
@@ -406,7 +414,7 @@
     async def _send(self, call: Call, upstream: UpstreamRecord) -> Outcome:
         left = call.deadline - trio.current_time()
         if left < _LEAST_TIME:
-            self._admission.count_unsent(trio.current_time())
+            self._admission.record_unsent(trio.current_time())
             return not_run('the deadline has passed')
         max_idle = max_idle_of(call)
         fault = ExchangeFailure.CONNECTION_LOST
@@ -414,13 +422,13 @@
         for _ in range(2):
             connection = await self._pool.acquire(max_idle=max_idle)
             if connection is None and not was_sent:
-                self._admission.count_unsent(trio.current_time())
+                self._admission.record_unsent(trio.current_time())
                 return self._unreachable(upstream)
             if connection is None:
                 break
             began = trio.current_time()
             if was_sent:
-                self._admission.count_extra(began)
+                self._admission.record_resend(began)
             self.limits.counts.sent += self._admission.is_paced
             result = await self._link.exchange(call, upstream, connection)
             took = trio.current_time() - began
@@ -536,7 +544,7 @@
     def _accuse(self, request: Identity, crash: CrashId) -> None:
         """Tell others of a crash that the request's ingress did not hear of."""
         gate = self._context.gate
-        gate.accuse(request, crash)
+        gate.record_crash(request, crash)
         gate.share(request.fingerprint)
 
     def _fingerprints(self) -> list[Fingerprint]:
@@ -544,7 +552,7 @@
         return [call.find_fingerprint() for call in self._calls.values()]
 
     def _lose(self, upstream: UpstreamRecord) -> None:
-        self.register.lose(upstream.instance)
+        self.register.mark_gone(upstream.instance)
         self._adopt()
 
 
@@ -568,6 +576,8 @@
         admission.admit(trio.current_time())
 
 
-def _settle(settled: list[Entry], event: trio.Event, entry: Entry) -> None:
+def _settle(
+    settled: list[AdmissionResult], event: trio.Event, entry: AdmissionResult
+) -> None:
     settled.append(entry)
     event.set()
--- a/libs/sidecar/src/verbenamill_sidecar/peers.py
+++ b/libs/sidecar/src/verbenamill_sidecar/peers.py
@@ -9,14 +9,14 @@
 from verbenamill_http.addresses import parse_address
 from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import ServiceName, UpstreamState, VmId
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.members import (
-    LAST_HEARTBEAT,
+    LEAVE_SEQUENCE,
     MemberRecord,
     MemberTable,
     UpstreamRecord,
 )
-from verbenamill_policy.placement import LONGEST_PAUSE, Owner
+from verbenamill_policy.placement import MAX_BACKOFF, OwnerEstimate
 from verbenamill_policy.rollouts import Shares
 from verbenamill_telemetry import Event, log
 
@@ -76,13 +76,13 @@
         self._watched = set() if watched is None else watched
         self._waiting: set[_Waiter] = set()
         self.heard_at = float('-inf')
-        self._limit: tuple[Start, NamedLimit | None] | None = None
+        self._limit: tuple[Start, RateLimit | None] | None = None
         self._left: Start | None = None
         self.tell_left(upstream)
         if upstream is not None:
             self.tell_limit(upstream, upstream.limit)
         self._doubted_at = float('-inf')
-        self.owner = Owner(
+        self.owner = OwnerEstimate(
             vm=record.vm,
             availability_zone=record.availability_zone,
             slots=1 if upstream is None else upstream.slots,
@@ -122,7 +122,7 @@
     def tell_limit(
         self,
         upstream: UpstreamRecord,
-        limit: NamedLimit | None,
+        limit: RateLimit | None,
     ) -> None:
         """Take in the limit of its upstream, as a reply or a record tells it.
 
@@ -130,7 +130,7 @@
         """
         self._limit = (start_of(upstream), limit)
 
-    def limit_of(self, upstream: UpstreamRecord) -> NamedLimit | None:
+    def limit_of(self, upstream: UpstreamRecord) -> RateLimit | None:
         """The limit of its upstream, as it was told last."""
         if self._limit is None or self._limit[0] != start_of(upstream):
             return None
@@ -204,7 +204,7 @@
         ]
         if doubted:
             self._doubted_at = now
-            self.avoid('it gives no sign of life', pause=LONGEST_PAUSE)
+            self.avoid('it gives no sign of life', pause=MAX_BACKOFF)
         for waiter in doubted:
             waiter.doubt(now)
 
@@ -281,7 +281,7 @@
         """A reply says that an upstream has said that it ends."""
         if peer.knows_left(upstream):
             return
-        peer.tell_left(replace(upstream, heartbeat=LAST_HEARTBEAT))
+        peer.tell_left(replace(upstream, heartbeat=LEAVE_SEQUENCE))
         self._seen = -1
 
     def to_watch(self) -> list[Peer]:
@@ -348,13 +348,13 @@
     if upstream.limit != _told_limit(old, upstream, has_restarted):
         peer.tell_limit(upstream, upstream.limit)
     if old is None or start_of(old) != start_of(upstream):
-        peer.owner = Owner(
+        peer.owner = OwnerEstimate(
             vm=record.vm,
             availability_zone=record.availability_zone,
             slots=upstream.slots,
         )
     elif old.limit is not None and upstream.limit is None:
-        peer.owner.forget_limit()
+        peer.owner.clear_limit()
     peer.owner.slots = max(upstream.slots, 1)
 
 
@@ -362,7 +362,7 @@
     old: UpstreamRecord | None,
     upstream: UpstreamRecord,
     has_restarted: bool,
-) -> NamedLimit | None:
+) -> RateLimit | None:
     """The limit that the record before told of the same start.
 
     A daemon that has started again tells none until it knows of one.
--- a/libs/sidecar/src/verbenamill_sidecar/protocol.py
+++ b/libs/sidecar/src/verbenamill_sidecar/protocol.py
@@ -17,7 +17,7 @@
 from verbenamill_policy.fingerprints import Fingerprint
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.quarantine import Suspect
-from verbenamill_policy.rollouts import Order, Settled
+from verbenamill_policy.rollouts import Order, SettledOrder
 from verbenamill_policy.routes import Configuration
 
 
@@ -95,7 +95,7 @@
     """
 
     end: int
-    settled: dict[ServiceName, Settled]
+    settled: dict[ServiceName, SettledOrder]
 
 
 class SavedState(Struct, frozen=True, kw_only=True):
@@ -134,7 +134,7 @@
 
     async def record_verdict(
         self,
-        settled: Settled,
+        settled: SettledOrder,
         *,
         end: int,
     ) -> Result[None, StoreFault]:
--- a/libs/sidecar/src/verbenamill_sidecar/reading.py
+++ b/libs/sidecar/src/verbenamill_sidecar/reading.py
@@ -81,7 +81,7 @@
         """Learn that requests of a route make calls of another one."""
         nesting = self._context.own.nesting
         for split in route.splits:
-            nesting.tell_call(parent.route.name, split.service)
+            nesting.record_call(parent.route.name, split.service)
 
     def _clean(self, headers: list[Header]) -> list[Header]:
         """Headers that go on; those that we set are not believed."""
--- a/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
+++ b/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
@@ -8,12 +8,12 @@
 from returns.result import Failure, Success
 
 from verbenamill_model.typing import ServiceName, VmId
-from verbenamill_policy.deciding import Decision, Situation, decide
+from verbenamill_policy.move_decision import Decision, MoveContext, decide
 from verbenamill_policy.evidence import Evidence
 from verbenamill_policy.rollouts import (
     Order,
     Progress,
-    Settled,
+    SettledOrder,
     Verdict,
 )
 from verbenamill_policy.tallies import Tally
@@ -131,9 +131,9 @@
         move: _Move,
         known: Progress,
         now: float,
-    ) -> Situation:
+    ) -> MoveContext:
         order = move.order
-        return Situation(
+        return MoveContext(
             window=order.window,
             elapsed=now - move.begun_at,
             in_stage=now - move.stage_at,
@@ -259,7 +259,7 @@
             if found.order == move.order.id:
                 return True
         order = move.order
-        settled = Settled(
+        settled = SettledOrder(
             order=order.id,
             service=order.service,
             target=order.target,
@@ -279,7 +279,7 @@
                 return False
         raise AssertionError('a result is a success or a failure')
 
-    def _take_settled(self, settled: Settled) -> None:
+    def _take_settled(self, settled: SettledOrder) -> None:
         assert self._gossip is not None
         self._gossip.tell_settled(settled)
 
--- a/libs/sidecar/src/verbenamill_sidecar/suspects.py
+++ b/libs/sidecar/src/verbenamill_sidecar/suspects.py
@@ -9,9 +9,9 @@
 from verbenamill_policy.fingerprints import Fingerprint
 from verbenamill_policy.quarantine import (
     CrashId,
-    Merge,
+    MergeResult,
     Quarantine,
-    Standing,
+    QuarantineStatus,
     Suspect,
 )
 from verbenamill_sidecar.call import Call
@@ -92,7 +92,7 @@
         if self.is_idle:
             return 0
         fingerprint = call.find_fingerprint()
-        if self._judge(fingerprint) is not Standing.BLOCKED:
+        if self._judge(fingerprint) is not QuarantineStatus.BLOCKED:
             return 0
         return self._blocked_for(fingerprint)
 
@@ -104,14 +104,16 @@
         fingerprint = call.find_fingerprint()
         while True:
             match self._judge(fingerprint):
-                case Standing.CLEAR | Standing.WATCHED:
+                case QuarantineStatus.CLEAR | QuarantineStatus.SUSPECTED:
                     return Entry(is_admitted=True)
-                case Standing.BLOCKED:
+                case QuarantineStatus.BLOCKED:
                     return Entry(
                         is_admitted=False,
                         blocked_for=self._blocked_for(fingerprint),
                     )
-                case Standing.ISOLATED if fingerprint not in self._running:
+                case QuarantineStatus.ISOLATED if (
+                    fingerprint not in self._running
+                ):
                     self._running.add(fingerprint)
                     return Entry(is_admitted=True, is_alone=True)
             if self._now() > call.deadline - _ANSWER_TIME:
@@ -124,11 +126,11 @@
         self._running.discard(fingerprint)
         self._wake(fingerprint)
 
-    def accuse(self, request: Identity, crash: CrashId) -> None:
+    def record_crash(self, request: Identity, crash: CrashId) -> None:
         """An upstream crashed while it ran a request."""
         fingerprint = request.fingerprint
         was_blocked = self._is_blocked(fingerprint)
-        self.quarantine.accuse(
+        self.quarantine.record_crash(
             fingerprint,
             crash,
             about=request.about,
@@ -149,7 +151,7 @@
             return
         fingerprint = call.find_fingerprint()
         if has_completed:
-            is_news = self.quarantine.clear(
+            is_news = self.quarantine.record_completion(
                 fingerprint,
                 now=self._now(),
                 wall=self._wall(),
@@ -162,18 +164,18 @@
 
     def share(self, fingerprint: Fingerprint) -> None:
         """Tell the other daemons of a suspicion, if there is a new one."""
-        if self.quarantine.share(fingerprint):
+        if self.quarantine.mark_shared(fingerprint):
             self.publish(fingerprint)
 
-    def may_repeat(self, call: Call) -> bool:
+    def may_retry(self, call: Call) -> bool:
         """Whether a request may reach a further upstream in this coming."""
-        return self.quarantine.may_repeat(call.find_fingerprint())
+        return self.quarantine.may_retry(call.find_fingerprint())
 
-    def merge(self, record: Suspect) -> Merge:
+    def merge(self, record: Suspect) -> MergeResult:
         """Take in what another daemon or the store knows."""
         was_blocked = self._is_blocked(record.fingerprint)
         found = self.quarantine.merge(record, now=self._now())
-        if found is Merge.NEWS:
+        if found is MergeResult.CHANGED:
             self._tell_blocked(record.fingerprint, was_blocked=was_blocked)
             self._wake(record.fingerprint)
         return found
@@ -182,8 +184,8 @@
         """Forget what is too old."""
         self.quarantine.sweep(wall=self._wall())
 
-    def _judge(self, fingerprint: Fingerprint) -> Standing:
-        return self.quarantine.judge(
+    def _judge(self, fingerprint: Fingerprint) -> QuarantineStatus:
+        return self.quarantine.find_status(
             fingerprint,
             now=self._now(),
             wall=self._wall(),
--- a/libs/sidecar/tests/test_crashing.py
+++ b/libs/sidecar/tests/test_crashing.py
@@ -5,7 +5,7 @@
 from trio.testing import MockClock
 
 from verbenamill_model.typing import UpstreamState
-from verbenamill_policy.heartbeats import Heartbeat, UpstreamRegister
+from verbenamill_policy.heartbeats import Heartbeat, UpstreamTracker
 from verbenamill_policy.routes import Route, RouteKind, Split
 from verbenamill_sidecar.call import Call
 from verbenamill_sidecar.crashing import CrashDetector
@@ -78,7 +78,7 @@
     """An upstream, and what is found out about its connections."""
 
     def __init__(self):
-        self.register = UpstreamRegister(ADDRESS)
+        self.register = UpstreamTracker(ADDRESS)
         self.pool = FakePool()
         self.accused = []
         self.beat(1)
@@ -86,15 +86,15 @@
         self.crashes = CrashDetector(
             self.register,
             self.pool,
-            lose=lambda one: self.register.lose(one.instance),
+            lose=lambda one: self.register.mark_gone(one.instance),
             in_hand=lambda: [],
-            accuse=lambda request, crash: self.accused.append(
+            record_crash=lambda request, crash: self.accused.append(
                 (request.about, crash),
             ),
         )
 
     def beat(self, born, *, state=UpstreamState.READY, sequence=1):
-        self.register.take(
+        self.register.update(
             Heartbeat(
                 instance='i1',
                 address=ADDRESS,
--- a/libs/sidecar/tests/test_desired_state.py
+++ b/libs/sidecar/tests/test_desired_state.py
@@ -1,6 +1,6 @@
 """What a daemon concludes from orders and verdicts as they follow."""
 
-from verbenamill_policy.rollouts import Order, Settled, Verdict
+from verbenamill_policy.rollouts import Order, SettledOrder, Verdict
 from verbenamill_sidecar.desired_state import (
     DesiredState,
     decode_snapshot,
@@ -15,7 +15,7 @@
     wishes = DesiredState()
     wishes.take_order(Order(id=1, service='s', target='v2', window=6))
     wishes.take_settled(
-        Settled(
+        SettledOrder(
             order=1,
             service='s',
             target='v2',
@@ -29,7 +29,9 @@
 
 
 def _verdict(order, target, verdict):
-    return Settled(order=order, service='s', target=target, verdict=verdict)
+    return SettledOrder(
+        order=order, service='s', target=target, verdict=verdict
+    )
 
 
 def test_a_restarted_daemon_learns_what_was_taken_back_from_a_neighbour():
--- a/libs/sidecar/tests/test_dissemination.py
+++ b/libs/sidecar/tests/test_dissemination.py
@@ -21,7 +21,7 @@
     MAX_RECORDS,
     CrashId,
     Quarantine,
-    Standing,
+    QuarantineStatus,
 )
 from verbenamill_policy.rollouts import Progress
 from verbenamill_policy.routes import Route, RouteKind, Split
@@ -198,12 +198,12 @@
         """Daemons that refuse a request, or hold it."""
         found = []
         for daemon in self.daemons.values():
-            standing = daemon.gate.quarantine.judge(
+            standing = daemon.gate.quarantine.find_status(
                 fingerprint,
                 now=self.now,
                 wall=self.now,
             )
-            if standing in (Standing.BLOCKED, Standing.HELD):
+            if standing in (QuarantineStatus.BLOCKED, QuarantineStatus.HELD):
                 found.append(daemon)
         return found
 
@@ -432,12 +432,12 @@
     )
 
 
-def accuse(daemon, *crashes, call=None, alone=False):
+def record_crash(daemon, *crashes, call=None, alone=False):
     """Upstreams crash under a request that comes to a daemon."""
     call = call or make_call()
     call.is_alone = alone
     for crash in crashes:
-        daemon.gate.accuse(identify(call), CrashId(crash))
+        daemon.gate.record_crash(identify(call), CrashId(crash))
     daemon.gate.conclude(call, has_completed=False)
 
 
@@ -447,9 +447,9 @@
     """Guards against daemons that go on sending a query of death."""
     for seed in range(5):
         fleet = Fleet(zones, size, loss=loss, seed=seed)
-        accuse(fleet.daemons['0-0'], 'i1/1', 'i2/1')
+        record_crash(fleet.daemons['0-0'], 'i1/1', 'i2/1')
         fleet.run(3)
-        accuse(fleet.daemons['1-1'], 'i3/1', alone=True)
+        record_crash(fleet.daemons['1-1'], 'i3/1', alone=True)
         fingerprint = make_call().find_fingerprint()
         everybody = len(fleet.daemons)
         fleet.rounds_until(
@@ -462,8 +462,8 @@
     """Guards against two halves that each forget what the other half saw."""
     fleet = Fleet(4, 3)
     fleet.is_cut = lambda one, other: (one.zone == 'z0') != (other.zone == 'z0')
-    accuse(fleet.daemons['0-0'], 'i1/1', 'i2/1')
-    accuse(fleet.daemons['1-0'], 'i3/1', 'i4/1', 'i5/1', alone=True)
+    record_crash(fleet.daemons['0-0'], 'i1/1', 'i2/1')
+    record_crash(fleet.daemons['1-0'], 'i3/1', 'i4/1', 'i5/1', alone=True)
     fleet.run(COMPARED)
     fingerprint = make_call().find_fingerprint()
     assert len(fleet.blocking(fingerprint)) == 9
@@ -477,7 +477,7 @@
 def test_a_completion_anywhere_frees_a_request_everywhere():
     """Guards against a harmless request that stays refused."""
     fleet = Fleet(4, 15)
-    accuse(fleet.daemons['0-0'], 'i1/1', 'i2/1', 'i3/1', alone=True)
+    record_crash(fleet.daemons['0-0'], 'i1/1', 'i2/1', 'i3/1', alone=True)
     fleet.run(6)
     fingerprint = make_call().find_fingerprint()
     assert fleet.blocking(fingerprint)
@@ -490,7 +490,7 @@
     fleet = Fleet(4, 3)
     maker = fleet.daemons['0-0']
     for number in range(200):
-        accuse(maker, f'i{number}/1', call=make_call(b'/%d' % number))
+        record_crash(maker, f'i{number}/1', call=make_call(b'/%d' % number))
     fleet.sent.clear()
     upstream = make_upstream()
     maker.news.update(upstream=upstream)
--- a/libs/sidecar/tests/test_hop.py
+++ b/libs/sidecar/tests/test_hop.py
@@ -1,7 +1,7 @@
 """What daemons tell each other beside a request and its answer."""
 
 from verbenamill_http.client import ClientResponse
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 from verbenamill_sidecar.call import Fate, Outcome, not_run
 from verbenamill_sidecar.hop import encode_outcome, read_outcome
 
@@ -41,7 +41,7 @@
 
 
 def test_a_reply_tells_the_limit_and_when_it_has_room():
-    limit = NamedLimit(2.5, 1000)
+    limit = RateLimit(2.5, 1000)
     refused = not_run('the upstream is at its limit', wait=0.4)
     refused.limit = limit
     refused.knows_limit = True
--- a/libs/sidecar/tests/test_peers.py
+++ b/libs/sidecar/tests/test_peers.py
@@ -8,16 +8,16 @@
 from msgspec.structs import replace
 
 from verbenamill_model.typing import UpstreamState
-from verbenamill_policy.limits import NamedLimit
+from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.members import (
-    LAST_HEARTBEAT,
+    LEAVE_SEQUENCE,
     MemberRecord,
     MemberTable,
     UpstreamRecord,
 )
 from verbenamill_sidecar.peers import Peers
 
-LIMIT = NamedLimit(2.3, 1000)
+LIMIT = RateLimit(2.3, 1000)
 
 
 def upstream(*, born=100, heartbeat=1, limit=None, state=UpstreamState.READY):
@@ -100,7 +100,7 @@
 def test_a_leave_that_a_record_told_binds_through_starts_of_its_daemon(
     table, peers
 ):
-    left = upstream(heartbeat=LAST_HEARTBEAT, state=UpstreamState.DRAINING)
+    left = upstream(heartbeat=LEAVE_SEQUENCE, state=UpstreamState.DRAINING)
     table.merge(record(2, left))
     assert not peers.of_service('entries')
     table.merge(record(3, upstream(heartbeat=9)))
@@ -165,10 +165,10 @@
 ):
     """Guards against ingresses that avoid a start that names no limit."""
     peer = peers.get('vm1')
-    peer.owner.tell_limited(0, 1e9, 0, taken=False)
+    peer.owner.record_limit_result(0, 1e9, 0, taken=False)
     table.merge(record(2, upstream(born=200)))
     peers.all()
-    assert peer.owner.room_at(0) < 0
+    assert peer.owner.limit_ready_at(0) < 0
 
 
 @in_trio
@@ -176,7 +176,7 @@
     table.merge(record(2, upstream(limit=LIMIT)))
     peers.all()
     peer = peers.get('vm1')
-    peer.owner.tell_limited(0, 1e9, 0, taken=False)
+    peer.owner.record_limit_result(0, 1e9, 0, taken=False)
     table.merge(record(3, upstream()))
     peers.all()
-    assert peer.owner.room_at(0) < 0
+    assert peer.owner.limit_ready_at(0) < 0
