--- a/deploy/node/src/verbenamill_node/__main__.py
+++ b/deploy/node/src/verbenamill_node/__main__.py
@@ -2,10 +2,10 @@
 
 import sys
 
-from verbenamill_node.early import ignore_hangups
+from verbenamill_node.early_signals import ignore_hangups
 
 if __name__ == '__main__':
     ignore_hangups()
-    from verbenamill_node.starting import main
+    from verbenamill_node.startup import main
 
     sys.exit(main())
--- a/deploy/tests/conftest.py
+++ b/deploy/tests/conftest.py
@@ -263,7 +263,7 @@
 
     async def add(self, name, *, zone='z1', start=True, **upstream):
         made = UpstreamStandIn(instance=f'i-{name}', zone=zone, **upstream)
-        await self.nursery.start(made.serve_again, self.restarted)
+        await self.nursery.start(made.serve_with_restarts, self.restarted)
         vm = Vm(self, name, self._find_ports(5), zone=zone, upstream=made)
         self.vms.append(vm)
         if start:
@@ -342,7 +342,7 @@
         async def main():
             async with open_site() as site:
                 if configured:
-                    site.store.operate('config', document(1))
+                    site.store.write_as_operator('config', document(1))
                 await scene(site)
 
         trio.run(main, clock=clock)
--- a/deploy/tests/test_failures.py
+++ b/deploy/tests/test_failures.py
@@ -4,14 +4,14 @@
 from trio.testing import MockClock
 
 from verbenamill_platform.store import READ_TIMEOUT
-from verbenamill_platform_standins.serving import Told
+from verbenamill_platform_standins.serving import HttpResponse
 from verbenamill_policy.routes import RouteKind
 from verbenamill_sidecar.store_follower import LONG_POLL_TIMEOUT
 from verbenamill_sidecar.hop import HopCall, encode_hop
 
 
 def sealed(id, body=b'whole'):
-    return Told(200, {'X-Attempt-Id': id, 'X-Response-Seal': 's'}, body)
+    return HttpResponse(200, {'X-Attempt-Id': id, 'X-Response-Seal': 's'}, body)
 
 
 def test_a_lost_answer_of_a_fee_is_not_asked_for_again(play):
@@ -23,10 +23,10 @@
         other = await site.add('vm2')
         await site.settled()
         for one in (vm, other):
-            one.upstream.script = lambda asked: Told(lost=True)
+            one.upstream.script = lambda asked: HttpResponse(is_dropped=True)
         answer = await vm.call('/fee/1', method='POST', body=b'5')
         assert answer.status == 502
-        assert len(vm.upstream.ran) + len(other.upstream.ran) == 1
+        assert len(vm.upstream.executions) + len(other.upstream.executions) == 1
 
     play(scene)
 
@@ -36,7 +36,7 @@
         vm = await site.add('vm1')
         other = await site.add('vm2')
         await site.settled()
-        vm.upstream.script = lambda asked: Told(lost=True)
+        vm.upstream.script = lambda asked: HttpResponse(is_dropped=True)
         other.upstream.script = lambda asked: None
         for number in range(3):
             answer = await vm.call(f'/lookup/{number}', id=f'l{number}')
@@ -62,7 +62,7 @@
                 b'HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nX-Response-Seal: s\r\n'
                 b'Content-Length: 5\r\n\r\nright' % id
             )
-            return Told(raw=extra + right)
+            return HttpResponse(raw=extra + right)
 
         vm.upstream.script = answer
         for number in range(3):
@@ -85,7 +85,7 @@
             b'what is this\r\n\r\n',
         )
         for raw in broken:
-            vm.upstream.script = lambda asked, raw=raw: Told(raw=raw)
+            vm.upstream.script = lambda asked, raw=raw: HttpResponse(raw=raw)
             answer = await vm.call('/fee/1', method='POST')
             assert answer.status == 502
 
@@ -99,7 +99,7 @@
             b'HTTP/1.1 200 OK\r\nX-Attempt-Id: r1\r\nX-Response-Seal: s\r\n'
             b'Connection: close\r\n\r\nto the end'
         )
-        vm.upstream.script = lambda asked: Told(raw=raw)
+        vm.upstream.script = lambda asked: HttpResponse(raw=raw)
         answer = await vm.call('/lookup/1')
         assert (answer.status, answer.body) == (200, b'to the end')
         assert answer.headers['content-length'] == '10'
@@ -121,8 +121,8 @@
             assert (
                 await vm.call(f'/fee/{number}', method='POST')
             ).status == 200
-        assert not vm.upstream.ran
-        assert len(other.upstream.ran) == 5
+        assert not vm.upstream.executions
+        assert len(other.upstream.executions) == 5
 
     play(scene)
 
@@ -141,7 +141,7 @@
         await vm.tell(late)
         await site.in_force(1)
         assert (await vm.call('/lookup/1')).status in {200, 503}
-        assert not vm.upstream.ran
+        assert not vm.upstream.executions
         assert (await other.call('/lookup/1')).status == 200
 
     play(scene)
@@ -155,7 +155,7 @@
         await vm.tell(late)
         answer = await vm.call('/fee/1', method='POST')
         assert answer.status == 503
-        assert not vm.upstream.ran
+        assert not vm.upstream.executions
 
     play(scene)
 
@@ -181,7 +181,7 @@
         vm.upstream.instance = 'i-other'
         answer = await vm.call('/fee/1', method='POST')
         assert answer.status == 503
-        assert not vm.upstream.ran
+        assert not vm.upstream.executions
         vm.upstream.born = 300
         await vm.beat()
         assert (await vm.call('/fee/1', method='POST')).status == 200
@@ -211,7 +211,7 @@
 def test_slots_are_never_exceeded(play):
     async def scene(site):
         vm = await site.add('vm1', slots=2)
-        vm.upstream.work = 0.05
+        vm.upstream.service_time = 0.05
         statuses = []
 
         async def call(number):
@@ -221,7 +221,7 @@
         async with trio.open_nursery() as nursery:
             for number in range(30):
                 nursery.start_soon(call, number)
-        assert vm.upstream.most <= 2
+        assert vm.upstream.peak_running <= 2
         assert set(statuses) <= {200, 503}
         assert statuses.count(200) >= 2
 
@@ -233,7 +233,7 @@
     # nobody and hold a slot; its connection is closed instead.
     async def scene(site):
         vm = await site.add('vm1')
-        vm.upstream.work = 5
+        vm.upstream.service_time = 5
         caller = await vm.connect()
         request = (
             b'GET /lookup/1 HTTP/1.1\r\nHost: shop.example\r\n'
@@ -260,7 +260,7 @@
 def test_a_request_ends_at_its_route_s_timeout(play):
     async def scene(site):
         vm = await site.add('vm1')
-        vm.upstream.work = 5
+        vm.upstream.service_time = 5
         answer = await vm.call('/brief/1')
         assert answer.status == 504
 
@@ -272,7 +272,7 @@
         vm = await site.add('vm1')
         other = await site.add('vm2')
         await site.settled()
-        vm.upstream.work = 0.5
+        vm.upstream.service_time = 0.5
         found = []
 
         async def call():
@@ -303,7 +303,7 @@
         other = await site.add('vm2')
         await site.settled()
         await site.in_force(1)
-        other.upstream.work = 0.5
+        other.upstream.service_time = 0.5
         caller = await vm.connect()
         answered = []
 
@@ -323,7 +323,7 @@
                 answered.append(answer.headers['x-attempt-id'])
                 last = answer.headers.get('connection')
             nursery.cancel_scope.cancel()
-        assert [ran.id for ran in other.upstream.ran] == answered
+        assert [ran.id for ran in other.upstream.executions] == answered
         assert last == 'close'
 
     play(scene, clock=MockClock(autojump_threshold=0))
@@ -369,7 +369,7 @@
         vm = await site.add('vm1')
         await site.add('vm2')
         await site.settled()
-        site.store.operate('config', kit.document(7))
+        site.store.write_as_operator('config', kit.document(7))
         await site.in_force(7)
         site.store.is_down = True
         await vm.kill()
@@ -386,7 +386,7 @@
         vm = await site.add('vm1')
         await site.in_force(1)
         site.store.is_down = True
-        site.store.operate('config', kit.document(3))
+        site.store.write_as_operator('config', kit.document(3))
         await trio.sleep(0.3)
         assert (await vm.call('/lookup/1')).status == 200
         site.store.is_down = False
@@ -402,7 +402,7 @@
         site.store.is_down = True
         await trio.sleep(0.2)
         for version in range(2, 9):
-            site.store.operate('config', kit.document(version))
+            site.store.write_as_operator('config', kit.document(version))
         site.store.compact('keyed.op')
         site.store.is_down = False
         await site.in_force(8)
@@ -431,7 +431,7 @@
         site.store.is_silent = True
         await site.until(has_asked)
         site.store.is_silent = False
-        site.store.operate('config', kit.document(2))
+        site.store.write_as_operator('config', kit.document(2))
         await site.in_force(2)
         assert vm.daemon._follower.is_lost is False
 
@@ -446,7 +446,7 @@
         await site.in_force(1)
         before = len(site.store.calls)
         for version in range(2, 62):
-            site.store.operate('config', kit.document(version))
+            site.store.write_as_operator('config', kit.document(version))
             await trio.sleep(0.01)
         await site.in_force(61)
         reads = site.store.calls[before:].count('/v1/log-read')
@@ -505,7 +505,7 @@
         assert await pass_on('first', 0) == 200
         assert await pass_on('held-up', 0.9) == 503
         assert await pass_on('next', 0) == 200
-        assert [ran.id for ran in vm.upstream.ran] == ['first', 'next']
+        assert [ran.id for ran in vm.upstream.executions] == ['first', 'next']
 
     play(scene)
 
@@ -530,7 +530,7 @@
 
         await site.until(is_lost)
         first.daemon._gossip._compare = _never
-        site.store.operate('config', kit.document(2))
+        site.store.write_as_operator('config', kit.document(2))
         site.store.is_down = False
         await site.in_force(2)
 
@@ -549,12 +549,12 @@
 
     async def scene(site):
         vm = await site.add(
-            'vm1', kills=lambda asked: asked.path == '/lookup/x'
+            'vm1', crashes_on=lambda asked: asked.path == '/lookup/x'
         )
         await site.in_force(1)
         assert (await vm.call('/lookup/1', id='l1')).status == 200
         answer = await vm.call('/lookup/x', id='l2')
-        assert [ran.id for ran in vm.upstream.ran] == ['l1', 'l2']
+        assert [ran.id for ran in vm.upstream.executions] == ['l1', 'l2']
         assert answer.status == 502
 
     play(scene)
@@ -568,12 +568,16 @@
     """
 
     async def scene(site):
-        vm = await site.add('vm1', work=0.3)
+        vm = await site.add('vm1', service_time=0.3)
         await site.in_force(1)
         upstream = vm.upstream
 
         def lose(asked):
-            return Told(lost=True) if asked.path == '/lookup/lost' else None
+            return (
+                HttpResponse(is_dropped=True)
+                if asked.path == '/lookup/lost'
+                else None
+            )
 
         upstream.script = lose
         answers = {}
@@ -611,7 +615,7 @@
         await trio.sleep(3)
         for number in range(20):
             await other.call(f'/lookup/{number}', id=f'l{number}')
-        assert not vm.upstream.ran
+        assert not vm.upstream.executions
 
     play(scene, clock=MockClock(autojump_threshold=0))
 
@@ -632,6 +636,6 @@
         await vm.beat()
         for number in range(20):
             await vm.call(f'/lookup/{number}', id=f'l{number}')
-        assert not vm.upstream.ran
+        assert not vm.upstream.executions
 
     play(scene, clock=MockClock(autojump_threshold=0))
--- a/deploy/tests/test_fleet.py
+++ b/deploy/tests/test_fleet.py
@@ -60,7 +60,7 @@
         await site.in_force(1)
         await vm.daemon._context.store.close()
         vm.daemon._follower._wishes.take_configuration = lambda *_: False
-        site.store.operate('config', kit.document(2))
+        site.store.write_as_operator('config', kit.document(2))
         report = (await find_fleet(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('1, behind')
@@ -70,7 +70,7 @@
 
 def test_moves_with_and_without_a_verdict(play):
     async def scene(site):
-        site.store.operate(
+        site.store.write_as_operator(
             'rollout/entries',
             {'service': 'entries', 'targetVersion': 'v2', 'durationS': 12},
         )
--- a/deploy/tests/test_moves.py
+++ b/deploy/tests/test_moves.py
@@ -3,11 +3,11 @@
 import pytest
 import trio
 
-from verbenamill_platform_standins.serving import Told
+from verbenamill_platform_standins.serving import HttpResponse
 
 
 def order(site, window):
-    site.store.operate(
+    site.store.write_as_operator(
         'rollout/entries',
         {'service': 'entries', 'targetVersion': 'v2', 'durationS': window},
     )
@@ -33,8 +33,11 @@
 
 
 async def make_versions(site):
-    old = [await site.add(f'old{n}', work=0.01) for n in range(2)]
-    new = [await site.add(f'new{n}', work=0.01, version='v2') for n in range(2)]
+    old = [await site.add(f'old{n}', service_time=0.01) for n in range(2)]
+    new = [
+        await site.add(f'new{n}', service_time=0.01, version='v2')
+        for n in range(2)
+    ]
     await site.settled()
     return old, new
 
@@ -53,7 +56,7 @@
         old, new = await make_versions(site)
         if fails:
             for vm in new:
-                vm.upstream.script = lambda asked: Told(
+                vm.upstream.script = lambda asked: HttpResponse(
                     500,
                     {'X-Response-Seal': 's'},
                     b'',
@@ -68,12 +71,12 @@
         assert status['targetVersion'] == 'v2'
         assert status['state'] == ('rolled_back' if fails else 'complete')
         gone, kept = (new, old) if fails else (old, new)
-        before = [len(vm.upstream.ran) for vm in gone]
+        before = [len(vm.upstream.executions) for vm in gone]
         for number in range(10):
             answer = await old[0].call(f'/lookup/{number}', id=f'end{number}')
             assert answer.status == 200
-        assert before == [len(vm.upstream.ran) for vm in gone]
-        assert all(vm.upstream.ran for vm in kept)
+        assert before == [len(vm.upstream.executions) for vm in gone]
+        assert all(vm.upstream.executions for vm in kept)
 
     play(scene)
 
@@ -97,7 +100,7 @@
         for number in range(10):
             answer = await new[0].call(f'/lookup/{number}', id=f'n{number}')
             assert answer.status == 200
-        assert not any(vm.upstream.ran for vm in new)
+        assert not any(vm.upstream.executions for vm in new)
 
     play(scene)
 
@@ -108,7 +111,7 @@
         stop = trio.Event()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(load, old, stop)
-            site.store.loses = 1
+            site.store.answers_to_drop = 1
             order(site, 3)
             await until_told(site, {'complete', 'rolled_back'})
             await trio.sleep(0.5)
--- a/deploy/tests/test_named_limits.py
+++ b/deploy/tests/test_named_limits.py
@@ -69,7 +69,7 @@
 
 async def open_fleet(site, *, vms=4, zones=2, **more):
     """A fleet of one service."""
-    more.setdefault('work', WORK)
+    more.setdefault('service_time', WORK)
     made = [
         await site.add(f'vm{place}', zone=f'z{place % zones + 1}', **more)
         for place in range(vms)
@@ -106,7 +106,7 @@
     """
     began = trio.current_time()
     await trio.sleep(SPAN)
-    takes = vm.upstream.slots / vm.upstream.work * SPAN
+    takes = vm.upstream.slots / vm.upstream.service_time * SPAN
     assert count_since(vm.upstream, began) > 0.5 * takes
 
 
@@ -147,7 +147,7 @@
     async def scene(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 2.3
-        limited.work = 0.2
+        limited.service_time = 0.2
         named_at = trio.current_time()
         await trio.sleep(GRACE)
         for _ in range(4):
@@ -173,7 +173,7 @@
         await trio.sleep(2)
         await check_use(vms[0])
 
-    play_fleet(play, scene, callers=6, work=0.2)
+    play_fleet(play, scene, callers=6, service_time=0.2)
 
 
 def test_where_all_are_at_their_limits_the_rest_is_refused_at_once(play):
@@ -217,7 +217,7 @@
         assert vms[0].daemon._own.limits.limit is None
         await check_use(vms[0])
 
-    play_fleet(play, scene, callers=6, work=0.2)
+    play_fleet(play, scene, callers=6, service_time=0.2)
 
 
 def test_an_upstream_that_takes_nothing_is_asked_now_and_then(play):
@@ -233,7 +233,7 @@
         await trio.sleep(10)
         await check_use(vms[0])
 
-    play_fleet(play, scene, callers=6, work=0.2)
+    play_fleet(play, scene, callers=6, service_time=0.2)
 
 
 def test_what_a_caller_says_of_limits_means_nothing(play):
@@ -259,7 +259,7 @@
     async def scene(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 2.3
-        limited.work = 0.6
+        limited.service_time = 0.6
         await trio.sleep(GRACE)
         site.store.is_down = True
         for vm in vms[1:]:
@@ -326,7 +326,7 @@
 
     async def scene(site, vms, load):
         leaving = vms[0].upstream
-        leaving.says_leaving = True
+        leaving.signals_leaving = True
         said_at = trio.current_time()
         for _ in range(6):
             await trio.sleep(0.5)
@@ -342,7 +342,7 @@
 
     async def scene(site, vms, load):
         leaving = vms[0].upstream
-        leaving.says_leaving = True
+        leaving.signals_leaving = True
         said_at = trio.current_time()
         await trio.sleep(1)
         for _ in range(4):
@@ -364,12 +364,12 @@
         while not leaving.running:
             await trio.sleep(WORK)
         said_at = trio.current_time()
-        leaving.says_leaving = True
+        leaving.signals_leaving = True
         await trio.sleep(DRAIN)
         assert not leaving.running
         assert load.served(said_at - 0.5) == 1
 
-    play_fleet(play, scene, work=0.3, slots=3)
+    play_fleet(play, scene, service_time=0.3, slots=3)
 
 
 def test_a_limited_version_on_trial_leaves_its_requests_to_the_old_one(play):
@@ -377,14 +377,14 @@
 
     async def scene(site):
         old = [
-            await site.add(f'old{place}', work=WORK, slots=30)
+            await site.add(f'old{place}', service_time=WORK, slots=30)
             for place in range(2)
         ]
-        new = await site.add('new', version='v2', work=WORK)
+        new = await site.add('new', version='v2', service_time=WORK)
         new.upstream.limit = 0.5
         await site.settled()
         await site.in_force(1)
-        site.store.operate(
+        site.store.write_as_operator(
             'rollout/entries',
             {'service': 'entries', 'targetVersion': 'v2', 'durationS': 60},
         )
--- a/deploy/tests/test_nested.py
+++ b/deploy/tests/test_nested.py
@@ -5,7 +5,7 @@
 import trio
 from trio.testing import MockClock
 
-from verbenamill_platform_standins.serving import Told
+from verbenamill_platform_standins.serving import HttpResponse
 
 WORK = 0.3
 
@@ -13,7 +13,9 @@
 def fails(asked):
     """What an upstream answers when a call that it needs has failed."""
     id = asked.headers['x-attempt-id']
-    return Told(500, {'X-Attempt-Id': id, 'X-Response-Seal': 's'}, b'failed')
+    return HttpResponse(
+        500, {'X-Attempt-Id': id, 'X-Response-Seal': 's'}, b'failed'
+    )
 
 
 async def call_with_nested(vm, kit, *, nested_path):
@@ -26,7 +28,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(outer)
         with trio.fail_after(5):
-            while not vm.upstream.ran:
+            while not vm.upstream.executions:
                 await trio.sleep(0.01)
         nested = await vm.call(nested_path, id='r1.n1')
     return answers[0], nested
@@ -42,8 +44,8 @@
     # 500 of its own upstream. Counted against the version, a good one on its
     # way in would be taken back for a service that is full.
     async def scene(site):
-        vm = await site.add('vm1', work=WORK)
-        other = await site.add('vm2', zone='z2', work=WORK)
+        vm = await site.add('vm1', service_time=WORK)
+        other = await site.add('vm2', zone='z2', service_time=WORK)
         await site.settled()
         await site.in_force(1)
         vm.upstream.script = fails
@@ -52,14 +54,14 @@
         assert answer.status == 500
         assert counted(vm) == 0
         # Another upstream would only make the same call again.
-        assert not other.upstream.ran
+        assert not other.upstream.executions
 
     play(scene)
 
 
 def test_a_version_is_blamed_for_failures_of_its_own(play, kit):
     async def scene(site):
-        vm = await site.add('vm1', work=WORK)
+        vm = await site.add('vm1', service_time=WORK)
         await site.in_force(1)
         vm.upstream.script = fails
         answer = await vm.call('/lookup/1', id='r1')
@@ -71,14 +73,14 @@
 
 def test_a_call_that_went_well_excuses_nothing(play, kit):
     async def scene(site):
-        vm = await site.add('vm1', work=WORK)
+        vm = await site.add('vm1', service_time=WORK)
         catalog = await site.add('vm2', service='catalog')
         await site.settled()
         await site.in_force(1)
         vm.upstream.script = fails
         answer, nested = await call_with_nested(vm, kit, nested_path='/photo/1')
         assert nested.status == 200
-        assert catalog.upstream.ran
+        assert catalog.upstream.executions
         assert answer.status == 500
         assert counted(vm) == 1
 
@@ -95,12 +97,12 @@
             kit.row('lookup', '/lookup/', timeout=5000),
             kit.row('photo', '/photo/', kind='upload', service='catalog'),
         ]
-        site.store.operate('config', kit.document(2, rows))
+        site.store.write_as_operator('config', kit.document(2, rows))
         caller = await site.add('vm1', service='catalog')
         owner = await site.add('vm2')
         await site.settled()
         await site.in_force(2)
-        owner.upstream.work = 4.5
+        owner.upstream.service_time = 4.5
         statuses = []
 
         async def call():
@@ -132,9 +134,9 @@
 
     async def scene(site):
         fee = kit.row('fee', '/fee/', kind='non_idempotent', timeout=30_000)
-        site.store.operate('config', kit.document(2, [fee]))
+        site.store.write_as_operator('config', kit.document(2, [fee]))
         caller = await site.add('vm1', service='catalog')
-        owner = await site.add('vm2', work=60)
+        owner = await site.add('vm2', service_time=60)
         await site.settled()
         await site.in_force(2)
         answers = []
@@ -169,8 +171,8 @@
 
     async def scene(site):
         lookup = kit.row('lookup', '/lookup/', timeout=5000)
-        site.store.operate('config', kit.document(2, [lookup]))
-        owner = await site.add('vm1', work=4.5)
+        site.store.write_as_operator('config', kit.document(2, [lookup]))
+        owner = await site.add('vm1', service_time=4.5)
         await site.in_force(2)
         statuses = []
 
--- a/deploy/tests/test_query_of_death.py
+++ b/deploy/tests/test_query_of_death.py
@@ -20,7 +20,7 @@
 PATH = '/lookup/deadly'
 
 
-def kills(asked):
+def crashes_on(asked):
     """Whether a request crashes the upstream that runs it."""
     return asked.path == PATH
 
@@ -31,8 +31,8 @@
         await site.add(
             f'vm{place}',
             zone=f'z{place % zones + 1}',
-            work=WORK,
-            kills=kills,
+            service_time=WORK,
+            crashes_on=crashes_on,
             **more,
         )
         for place in range(vms)
@@ -45,7 +45,10 @@
 def runs_of(vms, path):
     """When a request was begun, at any upstream."""
     return sorted(
-        ran.at for vm in vms for ran in vm.upstream.ran if ran.path == path
+        ran.at
+        for vm in vms
+        for ran in vm.upstream.executions
+        if ran.path == path
     )
 
 
@@ -140,7 +143,9 @@
         assert trio.current_time() - began < 0.05
         assert answer.status == 503
         assert float(answer.headers['retry-after']) >= 60
-        assert 'd9' not in {ran.id for vm in vms for ran in vm.upstream.ran}
+        assert 'd9' not in {
+            ran.id for vm in vms for ran in vm.upstream.executions
+        }
         assert blocked_by(vms[0])
 
     play(scene, clock=MockClock(autojump_threshold=0))
@@ -170,7 +175,7 @@
     async def scene(site):
         vms = await open_fleet(site)
         for vm in vms:
-            vm.upstream.kills = lambda asked: asked.body == b'deadly'
+            vm.upstream.crashes_on = lambda asked: asked.body == b'deadly'
         for coming in range(8):
             answer = await vms[coming % len(vms)].call(
                 '/fee/1',
@@ -274,13 +279,15 @@
     """Guards against taking a blocked call for a service without room."""
 
     async def scene(site):
-        owner = await site.add('vm1', work=WORK)
+        owner = await site.add('vm1', service_time=WORK)
         catalog = [
-            await site.add(f'c{place}', service='catalog', kills=lambda _: True)
+            await site.add(
+                f'c{place}', service='catalog', crashes_on=lambda _: True
+            )
             for place in range(4)
         ]
         rows = [*kit.rows, kit.row('read', '/read/', service='catalog')]
-        site.store.operate('config', kit.document(2, rows))
+        site.store.write_as_operator('config', kit.document(2, rows))
         await site.settled()
         await site.in_force(2)
         for coming in range(12):
@@ -359,7 +366,7 @@
         assert 'shop.example/lookup/deadly' in row
         fingerprint = row[0]
         for vm in vms:
-            vm.upstream.kills = lambda _: False
+            vm.upstream.crashes_on = lambda _: False
         done = await unblock(store, fingerprint, now=datetime.now(UTC))
         assert done.unwrap().code is ExitCode.OK
 
--- a/deploy/tests/test_store_calls.py
+++ b/deploy/tests/test_store_calls.py
@@ -5,7 +5,7 @@
 import trio
 from trio.testing import MockClock
 
-from verbenamill_platform_standins.store import PAGE
+from verbenamill_platform_standins.store import PAGE_SIZE
 from verbenamill_sidecar.distribution import READING_ZONES
 from verbenamill_sidecar.protocol import StorePurpose
 
@@ -27,7 +27,7 @@
 def assert_read_once(site, vm):
     """The members were read once, in a call for each page, and no more."""
     newest = dict(site.store.topic('keyed.verbenamill-members').records)
-    pages = ceil(len([value for value in newest.values() if value]) / PAGE)
+    pages = ceil(len([value for value in newest.values() if value]) / PAGE_SIZE)
     # Alone in its zone it also saves that, once in some seconds.
     assert set(calls_of(vm)) <= {StorePurpose.MEMBERS, StorePurpose.SAVE_ZONE}
     assert calls_of(vm)[StorePurpose.MEMBERS] <= pages
@@ -70,7 +70,7 @@
     async def scene(site):
         await open_site(site)
         before = [calls_of(vm)[StorePurpose.FOLLOW] for vm in site.vms]
-        site.store.operate('config', kit.document(2))
+        site.store.write_as_operator('config', kit.document(2))
         await site.in_force(2)
         after = [calls_of(vm)[StorePurpose.FOLLOW] for vm in site.vms]
         read = [one for one, other in zip(after, before) if one > other]
@@ -98,7 +98,7 @@
         for vm in [one for one in site.vms if one.daemon._tree.is_reader]:
             await vm.kill()
             site.vms.remove(vm)
-        site.store.operate('config', kit.document(2))
+        site.store.write_as_operator('config', kit.document(2))
         await site.in_force(2)
 
     play(scene, clock=MockClock(autojump_threshold=0))
@@ -111,7 +111,7 @@
         await open_site(site)
         reader = next(vm for vm in site.vms if vm.daemon._tree.is_reader)
         reader.daemon._follower._store.read_from = _never
-        site.store.operate('config', kit.document(2))
+        site.store.write_as_operator('config', kit.document(2))
         with trio.fail_after(2):
             await site.in_force(2)
 
--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -6,7 +6,7 @@
 
 from verbenamill_http.addresses import parse_address
 from verbenamill_http.client import ClientResponse
-from verbenamill_platform_standins.serving import Told
+from verbenamill_platform_standins.serving import HttpResponse
 from verbenamill_policy.placement import FIRST_PAUSE
 from verbenamill_sidecar import ingress as ingress_module
 from verbenamill_sidecar.call import Fate, Outcome, not_run, unknown
@@ -46,7 +46,7 @@
     # hold. The trace shows answers of 200 at the owner, and 502 before them.
     async def scene(site):
         ingress, owner = await open_pair(site)
-        owner.upstream.work = 2 * LOST_AFTER
+        owner.upstream.service_time = 2 * LOST_AFTER
         path = '/lookup/1' if method == 'GET' else '/fee/1'
         answers = []
         async with trio.open_nursery() as nursery:
@@ -56,7 +56,7 @@
             owner.stopping.set()
             ingress.stopping.set()
         assert [answer.status for answer in answers] == [200]
-        assert len(owner.upstream.ran) == 1
+        assert len(owner.upstream.executions) == 1
 
     play(scene)
 
@@ -69,7 +69,7 @@
     # still work, and their answers come.
     async def scene(site):
         ingress, owner = await open_pair(site)
-        owner.upstream.work = 0.5
+        owner.upstream.service_time = 0.5
         answers = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_one, ingress, answers, '/lookup/1')
@@ -79,7 +79,7 @@
             refused = await ingress.call('/lookup/2', id='r2')
             assert refused.status == 503
         assert [answer.status for answer in answers] == [200]
-        assert len(owner.upstream.ran) == 1
+        assert len(owner.upstream.executions) == 1
 
     play(scene)
 
@@ -90,7 +90,7 @@
     # answers it meanwhile, soon enough for objectives of 0.8 s and more.
     async def scene(site):
         ingress, lost = await open_pair(site)
-        lost.upstream.work = 30
+        lost.upstream.service_time = 30
         other = await site.add('vm3', zone='z2')
         await site.settled()
         answers = []
@@ -100,7 +100,7 @@
             await site.until(lambda: is_running(lost))
             mute(lost)
         assert [answer.status for answer in answers] == [200]
-        assert len(other.upstream.ran) == 1
+        assert len(other.upstream.executions) == 1
         assert trio.current_time() - began <= 0.8
 
     play(scene, clock=MockClock(autojump_threshold=0))
@@ -111,7 +111,7 @@
     # second one has no room; the caller still gets the first answer.
     async def scene(site):
         ingress, slow = await open_pair(site)
-        slow.upstream.work = 2 * LOST_AFTER
+        slow.upstream.service_time = 2 * LOST_AFTER
         answers = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_one, ingress, answers, '/lookup/1')
@@ -120,7 +120,7 @@
             full = await site.add('vm3', zone='z2')
             full.upstream.slots = 0
         assert [answer.body for answer in answers] == [b'answer to r1']
-        assert not full.upstream.ran
+        assert not full.upstream.executions
 
     play(scene)
 
@@ -130,7 +130,7 @@
     # another owner as well, as a lookup is, it would be booked twice.
     async def scene(site):
         ingress, owner = await open_pair(site)
-        owner.upstream.work = 2 * LOST_AFTER
+        owner.upstream.service_time = 2 * LOST_AFTER
         answers = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_one, ingress, answers, '/fee/1', 'POST')
@@ -138,7 +138,7 @@
             mute(owner)
             other = await site.add('vm3', zone='z2')
         assert [answer.status for answer in answers] == [200]
-        assert not other.upstream.ran
+        assert not other.upstream.executions
 
     play(scene)
 
@@ -159,7 +159,7 @@
                 return not_run('no slot in time')
             if len(asked) == 3:
                 lost = next(vm for vm in vms if vm.name == asked[2])
-                lost.upstream.work = 30
+                lost.upstream.service_time = 30
                 mute(lost)
             return await pass_on(call, peer, upstream, **more)
 
@@ -186,7 +186,7 @@
         assert (await ingress.call('/lookup/1')).status == 200
         peer = ingress.daemon._peers.get('vm2')
         peer.pool.address = parse_address('127.0.0.1:1')
-        owner.upstream.work = 0.1
+        owner.upstream.service_time = 0.1
         answers = []
         async with trio.open_nursery() as nursery:
             nursery.start_soon(call_one, ingress, answers, '/lookup/2')
@@ -205,7 +205,7 @@
     # so the caller gets the answer that is being made, not the failure.
     async def scene(site):
         ingress, slow = await open_pair(site)
-        slow.upstream.work = 3 * LOST_AFTER
+        slow.upstream.service_time = 3 * LOST_AFTER
         answers = []
 
         async def call():
@@ -216,11 +216,13 @@
             await site.until(lambda: is_running(slow))
             send = slow.daemon._gossip._send_to
             mute(slow)
-            other = await site.add('vm3', zone='z2', work=2 * PROBE_PERIOD)
+            other = await site.add(
+                'vm3', zone='z2', service_time=2 * PROBE_PERIOD
+            )
             other.upstream.script = fail
             await site.until(lambda: is_running(other))
             slow.daemon._gossip._send_to = send
-        assert len(other.upstream.ran) == 1
+        assert len(other.upstream.executions) == 1
         assert [answer.body for answer in answers] == [b'answer to r1']
 
     play(scene)
@@ -228,7 +230,9 @@
 
 def fail(asked):
     id = asked.headers['x-attempt-id']
-    return Told(500, {'X-Attempt-Id': id, 'X-Response-Seal': 's'}, b'failed')
+    return HttpResponse(
+        500, {'X-Attempt-Id': id, 'X-Response-Seal': 's'}, b'failed'
+    )
 
 
 @pytest.fixture
--- a/libs/soak/src/verbenamill_soak/in_band.py
+++ b/libs/soak/src/verbenamill_soak/in_band.py
@@ -127,7 +127,7 @@
         if arrival.limit is not None:
             _tell(self._limit_told, key, asked, taker)
             self._named_at.setdefault(reached.start, arrival.at)
-        if arrival.says_leaving:
+        if arrival.signals_leaving:
             _tell(self._leave_told, key, asked, taker)
 
 
--- a/libs/soak/src/verbenamill_soak/launch.py
+++ b/libs/soak/src/verbenamill_soak/launch.py
@@ -3,7 +3,7 @@
 import sys
 from datetime import UTC, datetime, timedelta
 
-from verbenamill_node.early import ignore_hangups
+from verbenamill_node.early_signals import ignore_hangups
 
 
 def main() -> int:
@@ -13,11 +13,11 @@
     the daemon takes its wall clock from one function.
     """
     ignore_hangups()
-    from verbenamill_node import starting  # noqa: PLC0415
+    from verbenamill_node import startup  # noqa: PLC0415
 
     behind = timedelta(seconds=float(sys.argv.pop(1)))
-    starting._now = lambda: datetime.now(UTC) - behind  # noqa: SLF001
-    return starting.main()
+    startup._now = lambda: datetime.now(UTC) - behind  # noqa: SLF001
+    return startup.main()
 
 
 if __name__ == '__main__':
--- a/libs/soak/src/verbenamill_soak/nodes.py
+++ b/libs/soak/src/verbenamill_soak/nodes.py
@@ -10,7 +10,7 @@
 import h11
 import trio
 
-from verbenamill_platform_standins.callers import READINESS
+from verbenamill_platform_standins.callers import READINESS_PATH
 from verbenamill_platform_standins.ports import find_ports
 from verbenamill_soak.relays import Switch, TcpRelay, UdpRelay
 from verbenamill_soak.timeline import Timeline
@@ -178,11 +178,11 @@
             zone=self.zone,
             version=version,
             born=1000 * (1 + len(self.upstreams)),
-            work=WORK,
+            service_time=WORK,
         )
         made.fails = fails
         made.script = made.judge
-        made.kills = made.dies_of
+        made.crashes_on = made.dies_of
         scope = await self._nursery.start(self._serve, made)
         self._serving[made.name] = scope
         self._upstream.target = made.address
@@ -277,7 +277,7 @@
 
     async def is_ready(self) -> bool:
         """Whether the daemon says that callers may be sent here."""
-        status = await ask(self.ports[4], 'GET', READINESS, b'')
+        status = await ask(self.ports[4], 'GET', READINESS_PATH, b'')
         return status == 200
 
     async def _serve(
@@ -287,7 +287,7 @@
     ) -> None:
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                await nursery.start(upstream.serve_again)
+                await nursery.start(upstream.serve_with_restarts)
                 task_status.started(scope)
 
     async def _beat(self, upstream: Upstream) -> None:
--- a/libs/soak/src/verbenamill_soak/promises.py
+++ b/libs/soak/src/verbenamill_soak/promises.py
@@ -6,12 +6,12 @@
 from msgspec import Struct
 
 from verbenamill_platform_standins.operators import (
-    DONE,
-    TAKEN_BACK,
-    Told,
-    read_told,
+    COMPLETE,
+    ROLLED_BACK,
+    RolloutStatus,
+    read_statuses,
 )
-from verbenamill_platform_standins.upstream import Ran
+from verbenamill_platform_standins.upstream import Execution
 from verbenamill_soak.callers import Asked, Caller, Ending
 from verbenamill_soak.deadly import MOST_LATE, DeadlyRuns
 from verbenamill_soak.given_up import Work
@@ -36,7 +36,7 @@
 BACK_LIMIT = 5.0
 #: Characters of a traceback that are shown.
 _SHOWN = 900
-_FINAL = (DONE, TAKEN_BACK)
+_FINAL = (COMPLETE, ROLLED_BACK)
 
 
 class _Life(Struct):
@@ -95,11 +95,13 @@
         for node in self._site.nodes:
             for upstream in node.upstreams:
                 first = self._counted[upstream.name]
-                for ran in upstream.ran[first:]:
+                for ran in upstream.executions[first:]:
                     self._look_at_run(node, upstream, ran)
-                self._counted[upstream.name] = len(upstream.ran)
+                self._counted[upstream.name] = len(upstream.executions)
 
-    def _look_at_run(self, node: Node, upstream: Upstream, ran: Ran) -> None:
+    def _look_at_run(
+        self, node: Node, upstream: Upstream, ran: Execution
+    ) -> None:
         self._runs[ran.id].append(upstream.instance)
         self._work.note(ran.id, node, upstream, ran.at)
         if ran.path == DEADLY:
@@ -226,7 +228,7 @@
     def _look_at_verdicts(self) -> None:
         """Each order has one verdict at most, and a bad version not done."""
         settled: dict[int, str] = {}
-        for told in read_told(self._site.store, SERVICE):
+        for told in read_statuses(self._site.store, SERVICE):
             before = settled.get(told.order)
             if before in _FINAL and told.state != before:
                 self._break(
@@ -237,13 +239,13 @@
             settled[told.order] = told.state
             self._look_at_verdict(told)
 
-    def _look_at_verdict(self, told: Told) -> None:
+    def _look_at_verdict(self, told: RolloutStatus) -> None:
         order = self._site.orders.get(told.order)
         if order is None:
             return
-        if told.state == DONE and order.is_bad:
+        if told.state == COMPLETE and order.is_bad:
             self._break('bad is not done', str(told.order), str(order))
-        if told.state == TAKEN_BACK:
+        if told.state == ROLLED_BACK:
             now = trio.current_time()
             self._taken_back.setdefault(order.version, now)
 
--- a/libs/soak/src/verbenamill_soak/site.py
+++ b/libs/soak/src/verbenamill_soak/site.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from verbenamill_platform_standins import StoreStandIn
-from verbenamill_platform_standins.operators import order, publish
+from verbenamill_platform_standins.operators import order_rollout, publish
 from verbenamill_soak.callers import SITE, Caller
 from verbenamill_soak.nodes import Node
 from verbenamill_soak.pipelining import PipeliningCaller
@@ -155,7 +155,7 @@
             if node.is_serving(upstream):
                 node.end_upstream(upstream)
                 await node.add_upstream(version, fails=is_bad)
-        number = order(self.store, SERVICE, version, window=_WINDOW)
+        number = order_rollout(self.store, SERVICE, version, window=_WINDOW)
         self.orders[number] = Order(version, is_bad)
         word = 'bad' if is_bad else 'good'
         self.timeline.tell(f'order {number}: move to {version}, {word}')
--- a/libs/soak/src/verbenamill_soak/troubles.py
+++ b/libs/soak/src/verbenamill_soak/troubles.py
@@ -87,7 +87,7 @@
             case Kind.STORE_COMPACT:
                 store.compact(OPERATORS_TOPIC)
             case Kind.STORE_LOSES:
-                store.loses += 1 + trouble.draw % 3
+                store.answers_to_drop += 1 + trouble.draw % 3
             case Kind.STORE_DOWN:
                 store.is_down = True
                 await trio.sleep(trouble.lasts)
@@ -170,7 +170,7 @@
     async def _leave_in_band(self, node: Node) -> None:
         """Have an upstream say in its answers that it leaves, and end."""
         upstream = node.upstream
-        upstream.says_leaving = True
+        upstream.signals_leaving = True
         self._site.timeline.tell(f'{node.name}: {upstream.name} says it leaves')
         await trio.sleep(DRAIN_TIME + _STAYS_ON)
         if node.is_serving(upstream):
@@ -182,12 +182,12 @@
         node.holds += 1
         node.peers.hold(holds=True)
         upstream = node.upstream
-        upstream.work = LONG_WORK
+        upstream.service_time = LONG_WORK
         await trio.sleep(trouble.lasts)
         node.holds -= 1
         if not node.holds:
             node.peers.hold(holds=False)
-            upstream.work = WORK
+            upstream.service_time = WORK
 
     async def _play_signal(self, trouble: Trouble, node: Node) -> None:
         if node.starting.locked():
--- a/libs/soak/src/verbenamill_soak/upstreams.py
+++ b/libs/soak/src/verbenamill_soak/upstreams.py
@@ -5,8 +5,8 @@
 import trio
 
 from verbenamill_platform_standins import UpstreamStandIn
-from verbenamill_platform_standins.callers import SEAL
-from verbenamill_platform_standins.serving import Asked, Told
+from verbenamill_platform_standins.callers import SEAL_HEADER
+from verbenamill_platform_standins.serving import HttpRequest, HttpResponse
 
 #: Path of the request that crashes each upstream that runs it.
 DEADLY = '/lookup/deadly'
@@ -59,7 +59,7 @@
         named = [one for one in found if one is not None]
         return max(named) if len(named) == len(found) else None
 
-    def dies_of(self, asked: Asked) -> bool:
+    def dies_of(self, asked: HttpRequest) -> bool:
         """Whether a request crashes it."""
         if asked.path != DEADLY:
             return False
@@ -71,8 +71,8 @@
         self.died_at = trio.current_time()
         super().crash()
 
-    def judge(self, asked: Asked) -> Told | None:
+    def judge(self, asked: HttpRequest) -> HttpResponse | None:
         """Fail every second request of a bad version."""
-        if self.fails and len(self.ran) % 2:
-            return Told(500, {SEAL: 'bad'}, b'bad version')
+        if self.fails and len(self.executions) % 2:
+            return HttpResponse(500, {SEAL_HEADER: 'bad'}, b'bad version')
         return None
--- a/libs/soak/tests/test_pipelining.py
+++ b/libs/soak/tests/test_pipelining.py
@@ -54,7 +54,7 @@
     assert sum(in_hand) > PIPELINED * len(in_hand) > 0
     endings = {one.ending for one in asked}
     assert endings <= {Ending.ANSWERED, Ending.UNSENT}, endings
-    ran = {ran.id for node in site.nodes for ran in node.upstream.ran}
+    ran = {ran.id for node in site.nodes for ran in node.upstream.executions}
     unsent = {one.id for one in asked if one.ending is Ending.UNSENT}
     assert not ran & unsent
     assert took < SOON
--- a/libs/soak/tests/test_promises.py
+++ b/libs/soak/tests/test_promises.py
@@ -8,12 +8,12 @@
 
 from verbenamill_platform_standins import StoreStandIn
 from verbenamill_platform_standins.operators import (
-    DONE,
-    TAKEN_BACK,
-    Told,
-    tell,
+    COMPLETE,
+    ROLLED_BACK,
+    RolloutStatus,
+    write_status,
 )
-from verbenamill_platform_standins.upstream import Arrival, Ran
+from verbenamill_platform_standins.upstream import Arrival, Execution
 from verbenamill_soak.callers import DEADLINE, Asked, Ending
 from verbenamill_soak.promises import BACK_LIMIT, Promises
 from verbenamill_soak.relays import Switch, Way
@@ -64,8 +64,10 @@
         return self.calm
 
     def ran(self, id, *, vm=0, place=0, at=1.0):
-        ran = Ran(id=id, method='GET', path='/', body=b'', headers={}, at=at)
-        self.nodes[vm].upstreams[place].ran.append(ran)
+        ran = Execution(
+            id=id, method='GET', path='/', body=b'', headers={}, at=at
+        )
+        self.nodes[vm].upstreams[place].executions.append(ran)
 
     def asked(self, id, **more):
         body = more.pop('body', f'answer to {id}'.encode())
@@ -85,7 +87,7 @@
         self.callers[0].asked.append(Asked(**(fields | more)))
 
     def status(self, order, state):
-        tell(self.store, SERVICE, Told(order, state))
+        write_status(self.store, SERVICE, RolloutStatus(order, state))
 
 
 @pytest.fixture
@@ -261,8 +263,8 @@
     def act(site):
         site.orders = {3: Order('v2', False)}
         site.status(3, 'running')
-        site.status(3, DONE)
-        site.status(3, TAKEN_BACK)
+        site.status(3, COMPLETE)
+        site.status(3, ROLLED_BACK)
 
     assert broken(act) == ['one verdict']
 
@@ -270,7 +272,7 @@
 def test_a_bad_version_that_is_told_done(broken):
     def act(site):
         site.orders = {3: Order('v2', True)}
-        site.status(3, DONE)
+        site.status(3, COMPLETE)
 
     assert broken(act) == ['bad is not done']
 
@@ -279,7 +281,7 @@
     def act(site):
         site.orders = {3: Order('v2', True)}
         site.nodes[0].upstreams[1].version = 'v2'
-        site.status(3, TAKEN_BACK)
+        site.status(3, ROLLED_BACK)
 
     async def main():
         site = FakeSite()
@@ -459,8 +461,8 @@
     upstream = site.nodes[0].upstreams[0]
     upstream.killed_at = [1.0, 1.1, 1.2]
     for place, at in enumerate(times):
-        ran = Ran(f'vm0-7-{place}', 'GET', DEADLY, b'', {}, at)
-        upstream.ran.append(ran)
+        ran = Execution(f'vm0-7-{place}', 'GET', DEADLY, b'', {}, at)
+        upstream.executions.append(ran)
 
 
 def test_a_deadly_request_that_goes_on_is_found(broken):
@@ -549,8 +551,8 @@
 
 def test_work_for_an_upstream_that_said_in_band_that_it_leaves(broken):
     def act(site):
-        reached(site, 1, since=1.0, says_leaving=True)
-        reached(site, 1, since=1.0 + DRAIN_TIME + 0.1, says_leaving=True)
+        reached(site, 1, since=1.0, signals_leaving=True)
+        reached(site, 1, since=1.0 + DRAIN_TIME + 0.1, signals_leaving=True)
 
     assert broken(act) == ['who leaves in band gets no work']
 
@@ -559,11 +561,11 @@
 def test_a_leave_in_band_that_does_not_bind(broken, excuse):
     def act(site):
         if excuse != 'untold':
-            reached(site, 1, since=1.0, says_leaving=True)
+            reached(site, 1, since=1.0, signals_leaving=True)
         if excuse == 'harmed':
             site.nodes[1].harmed_at = 2.0
         since = 1.5 if excuse == 'early' else 10.0
         born = 200 if excuse == 'started' else 100
-        reached(site, 1, since=since, born=born, says_leaving=True)
+        reached(site, 1, since=since, born=born, signals_leaving=True)
 
     assert not broken(act)
