--- a/libs/policy/src/verbenamill_policy/admission.py
+++ b/libs/policy/src/verbenamill_policy/admission.py
@@ -181,7 +181,7 @@
             return float('inf')
         return now + pace.wait(0, now)
 
-    def pause(self, priority: int, now: float) -> float:
+    def rate_limit_wait(self, priority: int, now: float) -> float:
         """Time until a request of a priority may begin for the rate, in s."""
         if self._pace is None:
             return 0
--- a/libs/policy/src/verbenamill_policy/fingerprints.py
+++ b/libs/policy/src/verbenamill_policy/fingerprints.py
@@ -11,7 +11,7 @@
 SIZE = 16
 
 
-def take_fingerprint(
+def compute_fingerprint(
     *,
     method: bytes,
     host: bytes,
--- a/libs/policy/src/verbenamill_policy/heartbeats.py
+++ b/libs/policy/src/verbenamill_policy/heartbeats.py
@@ -144,7 +144,7 @@
         if self._current is not None:
             self._current = replace(self._current, limit=limit)
 
-    def recall(self, record: UpstreamRecord) -> bool:
+    def restore(self, record: UpstreamRecord) -> bool:
         """Heed what other daemons remember; tells whether it was news.
 
         A daemon that was killed right after it acknowledged a drain forgot
--- a/libs/policy/src/verbenamill_policy/limits.py
+++ b/libs/policy/src/verbenamill_policy/limits.py
@@ -80,7 +80,7 @@
         self.rate = None
         return True
 
-    def recall(self, rate: float) -> bool:
+    def restore(self, rate: float) -> bool:
         """Heed what others remember, until the first answer says more."""
         if self._has_heard or self.rate is not None:
             return False
--- a/libs/policy/src/verbenamill_policy/members.py
+++ b/libs/policy/src/verbenamill_policy/members.py
@@ -68,7 +68,7 @@
     upstream: UpstreamRecord | None = None
 
     @property
-    def age(self) -> tuple[int, int]:
+    def revision(self) -> tuple[int, int]:
         """Order of two records of one daemon."""
         return self.incarnation, self.sequence
 
@@ -127,7 +127,7 @@
     def merge(self, record: MemberRecord) -> bool:
         """Take in a record; tells whether it was news."""
         known = self._records.get(record.vm)
-        if known is not None and known.age >= record.age:
+        if known is not None and known.revision >= record.revision:
             return False
         if not self._displaces(record):
             return False
--- a/libs/policy/src/verbenamill_policy/move_decision.py
+++ b/libs/policy/src/verbenamill_policy/move_decision.py
@@ -27,14 +27,14 @@
     """One move as its decider sees it.
 
     :param elapsed: since the order, in seconds.
-    :param in_stage: since the current stage began, in seconds.
+    :param time_in_stage: since the current stage began, in seconds.
     :param target_ready: whether an upstream of the new version is ready.
     :param calls: requests that the new version has answered.
     """
 
     window: float
     elapsed: float
-    in_stage: float
+    time_in_stage: float
     progress: Progress
     target_ready: bool
     calls: int
@@ -68,7 +68,7 @@
 
 
 def _end(situation: MoveContext, part: float) -> Decision:
-    long_enough = situation.in_stage >= _LAST_STAGE_TIME
+    long_enough = situation.time_in_stage >= _LAST_STAGE_TIME
     is_due = part >= DONE_AT and long_enough
     # Doubt holds it up as long as there is time, and not beyond.
     if situation.finding.weight >= _SUSPICIOUS and part < LOST_AT:
--- a/libs/policy/src/verbenamill_policy/quarantine.py
+++ b/libs/policy/src/verbenamill_policy/quarantine.py
@@ -110,13 +110,13 @@
 class Quarantine:
     """All fingerprints that are suspected, as one daemon knows them.
 
-    :param patience: share of a block's time that this daemon waits longer
+    :param block_jitter: share of a block's time that this daemon waits longer
         before it lets one copy run again. It differs between daemons, so that
         the first that tries tells the others before they do.
     """
 
-    def __init__(self, *, patience: float = 0) -> None:
-        self._patience = patience
+    def __init__(self, *, block_jitter: float = 0) -> None:
+        self._block_jitter = block_jitter
         self._records: dict[Fingerprint, Suspect] = {}
         self._shared: set[Fingerprint] = set()
         self._untold: set[Fingerprint] = set()
@@ -192,7 +192,7 @@
             return 0
         if not record.is_blocked:
             return 0
-        span = record.block_time * (1 + self._patience)
+        span = record.block_time * (1 + self._block_jitter)
         return max(record.changed_at + span - wall, 0)
 
     def held_until(self, fingerprint: Fingerprint) -> float:
--- a/libs/policy/src/verbenamill_policy/retry_detection.py
+++ b/libs/policy/src/verbenamill_policy/retry_detection.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self._routes: dict[RouteName, _Values] = {}
 
-    def elapsed(self, route: RouteName, told: int) -> float:
+    def time_since_first_attempt(self, route: RouteName, told: int) -> float:
         """How long ago the caller of a request first asked, in seconds.
 
         :param told: time that it gives, in milliseconds.
--- a/libs/policy/tests/test_admission.py
+++ b/libs/policy/tests/test_admission.py
@@ -227,8 +227,8 @@
     admission.set_rate(4, 0)
     lookup = acquire(admission, 2, now=0)
     fee = acquire(admission, 1, now=0)
-    assert admission.pause(1, 0) == 0.5
-    assert admission.pause(2, 0) == 0.75
+    assert admission.rate_limit_wait(1, 0) == 0.5
+    assert admission.rate_limit_wait(2, 0) == 0.75
     admission.admit(0.25)
     assert (fee.entry, lookup.entry) == (AdmissionResult.ADMITTED, None)
 
--- a/libs/policy/tests/test_heartbeats.py
+++ b/libs/policy/tests/test_heartbeats.py
@@ -115,7 +115,7 @@
     before.update(beat(1))
     before.update(beat(3, state=DRAINING))
     register = UpstreamTracker(ADDRESS)
-    register.recall(before.current)
+    register.restore(before.current)
     assert register.update(beat(2)) is HeartbeatResult.STALE
     assert register.update(beat(4, state=DRAINING)) is HeartbeatResult.CHANGED
 
@@ -125,7 +125,7 @@
     before = UpstreamTracker(ADDRESS)
     before.update(beat(3, state=DRAINING))
     register.update(beat(2))
-    register.recall(before.current)
+    register.restore(before.current)
     assert register.current.state is DRAINING
 
 
@@ -134,7 +134,7 @@
     # change, it would be told again, and the echoes would never end.
     register = UpstreamTracker(ADDRESS)
     register.update(beat(3, state=DRAINING))
-    assert not register.recall(register.current)
+    assert not register.restore(register.current)
 
 
 def test_a_restarted_daemon_goes_on_with_its_upstream():
@@ -143,7 +143,7 @@
     before = UpstreamTracker(ADDRESS)
     before.update(beat(3))
     register = UpstreamTracker(ADDRESS)
-    assert register.recall(before.current)
+    assert register.restore(before.current)
     assert register.current.state is UpstreamState.READY
     assert register.update(beat(4)) is HeartbeatResult.UNCHANGED
 
@@ -153,7 +153,7 @@
     before.update(beat(3))
     register = UpstreamTracker(ADDRESS)
     register.update(beat(4, state=DRAINING))
-    assert not register.recall(before.current)
+    assert not register.restore(before.current)
     assert register.current.state is DRAINING
 
 
@@ -229,7 +229,7 @@
     record = first.current
     for _ in range(3):
         next_start = UpstreamTracker(ADDRESS)
-        assert next_start.recall(record)
+        assert next_start.restore(record)
         assert next_start.update(beat(9)) is HeartbeatResult.STALE
         record = next_start.current
         assert record.state is DRAINING
@@ -242,9 +242,9 @@
     leaving.leave_in_band('i1', 100)
     register = UpstreamTracker(ADDRESS)
     register.update(beat(8))
-    assert register.recall(leaving.current)
+    assert register.restore(leaving.current)
     assert register.current.state is DRAINING
     assert register.update(beat(9)) is HeartbeatResult.STALE
     assert register.leave('i1', 100, now=0)
     assert register.current.state is UpstreamState.GONE
-    assert not register.recall(leaving.current)
+    assert not register.restore(leaving.current)
--- a/libs/policy/tests/test_limits.py
+++ b/libs/policy/tests/test_limits.py
@@ -63,13 +63,13 @@
     """Guards against an old limit on an upstream that has said since."""
     belief = RateLimitTracker()
     belief.record_no_limit(asked_at=1)
-    assert not belief.recall(3)
+    assert not belief.restore(3)
     assert belief.rate is None
 
 
 def test_a_limit_that_is_remembered_ends_with_the_first_answer_without_one():
     belief = RateLimitTracker()
-    assert belief.recall(3)
+    assert belief.restore(3)
     assert belief.record_no_limit(asked_at=1)
 
 
@@ -98,7 +98,7 @@
     """Guards against 'no limit' from a daemon that has heard nothing."""
     belief = RateLimitTracker()
     assert not belief.is_known
-    assert belief.recall(3)
+    assert belief.restore(3)
     assert belief.is_known
     heard = RateLimitTracker()
     heard.record_no_limit(asked_at=1)
--- a/libs/policy/tests/test_members.py
+++ b/libs/policy/tests/test_members.py
@@ -50,7 +50,7 @@
     assert not table.merge(make_record('a', 2, 0))
     assert not table.merge(make_record('a', 1, 9))
     assert not table.merge(make_record('a', 2, 1))
-    assert table.get('a').age == (2, 1)
+    assert table.get('a').revision == (2, 1)
 
 
 def test_a_reused_address_belongs_to_who_started_last():
--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from verbenamill_policy.fingerprints import take_fingerprint
+from verbenamill_policy.fingerprints import compute_fingerprint
 from verbenamill_policy.quarantine import (
     BLOCK_AFTER,
     BLOCK_TIME,
@@ -60,7 +60,7 @@
         'caller': b'entries',
         'body': b'',
     }
-    return take_fingerprint(**(parts | changed))
+    return compute_fingerprint(**(parts | changed))
 
 
 def test_a_fingerprint_tells_requests_apart_by_all_that_upstreams_see():
@@ -162,7 +162,7 @@
 
 
 def test_daemons_do_not_all_try_at_the_same_time():
-    first, last = Quarantine(patience=0), Quarantine(patience=0.5)
+    first, last = Quarantine(block_jitter=0), Quarantine(block_jitter=0.5)
     for quarantine in (first, last):
         block(quarantine)
     wall = 1000 + BLOCK_TIME + 1
--- a/libs/policy/tests/test_rollouts.py
+++ b/libs/policy/tests/test_rollouts.py
@@ -315,7 +315,7 @@
     return MoveContext(
         window=14,
         elapsed=elapsed,
-        in_stage=more.get('in_stage', 3),
+        time_in_stage=more.get('time_in_stage', 3),
         progress=Progress('s', 7, stage),
         target_ready=more.get('target_ready', True),
         calls=more.get('calls', 100),
--- a/libs/sidecar/src/verbenamill_sidecar/call.py
+++ b/libs/sidecar/src/verbenamill_sidecar/call.py
@@ -7,7 +7,7 @@
 from verbenamill_http.client import ClientResponse
 from verbenamill_http.messages import Header, get_header
 from verbenamill_model.typing import ServiceName
-from verbenamill_policy.fingerprints import Fingerprint, take_fingerprint
+from verbenamill_policy.fingerprints import Fingerprint, compute_fingerprint
 from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.quarantine import CrashId
 from verbenamill_policy.routes import Route
@@ -54,7 +54,7 @@
 
     def find_fingerprint(self) -> Fingerprint:
         """What it is known by when it comes again."""
-        return take_fingerprint(
+        return compute_fingerprint(
             method=self.method,
             host=get_header(self.headers, b'host') or b'',
             target=self.target,
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -96,7 +96,7 @@
         self._wishes = DesiredState()
         self._stats = CallStats()
         self._gate = SuspectGate(
-            Quarantine(patience=_PATIENCE * context.random.random()),
+            Quarantine(block_jitter=_PATIENCE * context.random.random()),
             wall=lambda: context.now().timestamp(),
         )
         self._own = OwnUpstream(
--- a/libs/sidecar/src/verbenamill_sidecar/dissemination.py
+++ b/libs/sidecar/src/verbenamill_sidecar/dissemination.py
@@ -274,7 +274,7 @@
         ):
             self._recall(record.upstream)
             own = self._own
-        if record.age <= own.age:
+        if record.revision <= own.revision:
             return
         self._renew(
             max(record.incarnation, own.incarnation) + 1,
--- a/libs/sidecar/src/verbenamill_sidecar/learned.py
+++ b/libs/sidecar/src/verbenamill_sidecar/learned.py
@@ -34,7 +34,7 @@
 
         :param told: time that it gives, in milliseconds.
         """
-        return self._returning.elapsed(route.name, told)
+        return self._returning.time_since_first_attempt(route.name, told)
 
     def wish(self, call: Call, now: float) -> PlacementRequest:
         """What a request expects of an owner."""
--- a/libs/sidecar/src/verbenamill_sidecar/limiting.py
+++ b/libs/sidecar/src/verbenamill_sidecar/limiting.py
@@ -98,7 +98,7 @@
         A daemon that has just started has counted nothing, and has heard no
         answer; without this, it would send what the slots take.
         """
-        if self._belief.recall(limit.rate):
+        if self._belief.restore(limit.rate):
             self._admission.set_rate(limit.rate, trio.current_time())
             self._register.set_limit(limit)
             self.share(Source.MEMORY)
--- a/libs/sidecar/src/verbenamill_sidecar/owner.py
+++ b/libs/sidecar/src/verbenamill_sidecar/owner.py
@@ -149,7 +149,7 @@
 
     def recall(self, record: UpstreamRecord) -> None:
         """Heed what the other daemons remember."""
-        if self.register.recall(record):
+        if self.register.restore(record):
             self._adopt()
         if record.limit is not None:
             self.recall_limit(record.instance, record.born, record.limit)
@@ -214,7 +214,7 @@
         outcome.load = self.load
         outcome.limit = self.limits.limit
         outcome.knows_limit = self.limits.is_known
-        outcome.pause = self._admission.pause(
+        outcome.pause = self._admission.rate_limit_wait(
             call.route.priority,
             trio.current_time(),
         )
--- a/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
+++ b/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
@@ -152,13 +152,13 @@
         newer = [
             record
             for record in records
-            if record.vm not in told or record.age > told[record.vm]
+            if record.vm not in told or record.revision > told[record.vm]
         ]
         self._send_records(sender, newer)
         wanted = []
         for age in message.known:
             record = self._table.get(age.vm)
-            if record is None or record.age < told[age.vm]:
+            if record is None or record.revision < told[age.vm]:
                 wanted.append(age.vm)
         if wanted:
             self._send(sender, Wanted(self._own().vm, wanted[:_AGES]))
--- a/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
+++ b/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
@@ -136,7 +136,7 @@
         return MoveContext(
             window=order.window,
             elapsed=now - move.begun_at,
-            in_stage=now - move.stage_at,
+            time_in_stage=now - move.stage_at,
             progress=known,
             target_ready=any(
                 peer.upstream is not None
--- a/libs/sidecar/tests/test_gossip.py
+++ b/libs/sidecar/tests/test_gossip.py
@@ -159,7 +159,9 @@
     after.meet(other)
 
     async def check(nursery):
-        await until(lambda: other.knows('vm0').age > before.gossip.own.age)
+        await until(
+            lambda: other.knows('vm0').revision > before.gossip.own.revision
+        )
         await until(lambda: other.knows('vm0').upstream is None)
         assert after.recalled[0].state is UpstreamState.DRAINING
 
