--- a/libs/calls/tests/test_leaving.py
+++ b/libs/calls/tests/test_leaving.py
@@ -135,13 +135,13 @@
         stopping = daemons[0]
         idle = await stopping.connect()
         await trio.sleep(0.1)
-        wake = HttpConnection.wake
+        interrupt_receive = HttpConnection.interrupt_receive
 
-        def wake_late(connection):
+        def interrupt_late(connection):
             idle.socket._sock.send(http.encode('GET', '/entries/late'))
-            wake(connection)
+            interrupt_receive(connection)
 
-        monkeypatch.setattr(HttpConnection, 'wake', wake_late)
+        monkeypatch.setattr(HttpConnection, 'interrupt_receive', interrupt_late)
         nursery.start_soon(stopping.server.stop)
         answer = await http.read_answer(idle)
         assert answer.status == 200
