--- a/libs/policy/src/verbenamill_policy/service_times.py
+++ b/libs/policy/src/verbenamill_policy/service_times.py
@@ -40,12 +40,12 @@
         self.variance = FIRST_SPREAD**2
         self._at = now
 
-    def add(self, took: float, now: float, halves: float) -> None:
+    def add(self, took: float, now: float, half_life: float) -> None:
         median = self.mean * exp(-self.variance / 2)
         deviation = log(max(took, 0.001) / max(median, 0.001))
         self.variance += _SPREAD_WEIGHT * (deviation**2 - self.variance)
         self.variance = min(self.variance, _MOST_SPREAD**2)
-        forgotten = 1 - pow(2, -max(now - self._at, 0) / halves)
+        forgotten = 1 - pow(2, -max(now - self._at, 0) / half_life)
         self.mean += max(WEIGHT, forgotten) * (took - self.mean)
         self._at = now
 
@@ -53,11 +53,11 @@
 class ServiceTimes:
     """Service time of each route and of all, in seconds.
 
-    :param halves: after this long, half of a mean is forgotten, in seconds.
+    :param half_life: after this long, half of a mean is forgotten, in seconds.
     """
 
-    def __init__(self, *, halves: float = HALVES) -> None:
-        self._halves = halves
+    def __init__(self, *, half_life: float = HALVES) -> None:
+        self._halves = half_life
         self._routes: dict[RouteName, _Route] = {}
         self._mean: float | None = None
 
@@ -78,7 +78,7 @@
             return known.mean
         return PRIOR_SHARE * objective if objective > 0 else self.mean
 
-    def spread(self, route: RouteName) -> float:
+    def log_deviation(self, route: RouteName) -> float:
         """Standard deviation of the logarithm of a route's times."""
         known = self._routes.get(route)
         if known is None:
@@ -99,7 +99,7 @@
         self._mean = before + WEIGHT * (took - before)
 
 
-def chance(mean: float, spread: float, left: float) -> float:
+def chance(mean: float, log_deviation: float, left: float) -> float:
     """Probability that a time of some mean and spread is at most ``left``.
 
     Service times are taken as log-normal: most are short, and a few are
@@ -107,5 +107,5 @@
     """
     if left <= 0:
         return 0
-    median = max(mean, 0.001) * exp(-spread * spread / 2)
-    return (1 + erf(log(left / median) / (spread * sqrt(2)))) / 2
+    median = max(mean, 0.001) * exp(-log_deviation * log_deviation / 2)
+    return (1 + erf(log(left / median) / (log_deviation * sqrt(2)))) / 2
--- a/libs/sidecar/src/verbenamill_sidecar/learned.py
+++ b/libs/sidecar/src/verbenamill_sidecar/learned.py
@@ -21,7 +21,7 @@
     """Service times, sizes and patience by route, over all owners."""
 
     def __init__(self) -> None:
-        self._times = ServiceTimes(halves=_FLEET_HALVES)
+        self._times = ServiceTimes(half_life=_FLEET_HALVES)
         self._returning = RetryDetector()
         self._sizes: dict[RouteName, float] = {}
 
@@ -42,7 +42,7 @@
         patience = call.deadline - now
         return PlacementRequest(
             mean_time=self.usual(route),
-            log_deviation=self._times.spread(route.name),
+            log_deviation=self._times.log_deviation(route.name),
             time_to_objective=max(call.objective - now, patience / 2),
             time_to_deadline=patience,
             byte_count=len(call.body) + self._sizes.get(route.name, 0),
