--- a/deploy/tests/conftest.py
+++ b/deploy/tests/conftest.py
@@ -321,7 +321,9 @@
         """Wait until all daemons run a version."""
 
         async def is_in_force():
-            return all(vm.daemon._wishes.version == version for vm in self.vms)
+            return all(
+                vm.daemon._desired_state.version == version for vm in self.vms
+            )
 
         await self.until(is_in_force)
 
--- a/deploy/tests/test_failures.py
+++ b/deploy/tests/test_failures.py
@@ -245,7 +245,7 @@
             return vm.upstream.running == 1
 
         async def is_free():
-            return vm.daemon._own.running == 0
+            return vm.daemon._own_upstream.running == 0
 
         await site.until(is_running)
         assert not await is_free()
@@ -433,7 +433,7 @@
         site.store.is_silent = False
         site.store.write_as_operator('config', kit.document(2))
         await site.in_force(2)
-        assert vm.daemon._follower.is_lost is False
+        assert vm.daemon._follower.is_store_lost is False
 
     play(scene)
 
@@ -526,7 +526,7 @@
         site.store.is_down = True
 
         async def is_lost():
-            return first.daemon._follower.is_lost
+            return first.daemon._follower.is_store_lost
 
         await site.until(is_lost)
         first.daemon._gossip._compare = _never
--- a/deploy/tests/test_fleet.py
+++ b/deploy/tests/test_fleet.py
@@ -59,7 +59,9 @@
         vm = await site.add('vm1')
         await site.in_force(1)
         await vm.daemon._context.store.close()
-        vm.daemon._follower._wishes.take_configuration = lambda *_: False
+        vm.daemon._follower._desired_state.apply_configuration = lambda *_: (
+            False
+        )
         site.store.write_as_operator('config', kit.document(2))
         report = (await find_fleet(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
--- a/deploy/tests/test_named_limits.py
+++ b/deploy/tests/test_named_limits.py
@@ -214,7 +214,7 @@
         limited.born += 1
         limited.sequence = 0
         await vms[0].beat()
-        assert vms[0].daemon._own.limits.limit is None
+        assert vms[0].daemon._own_upstream.limits.limit is None
         await check_use(vms[0])
 
     play_fleet(play, scene, callers=6, service_time=0.2)
--- a/deploy/tests/test_nested.py
+++ b/deploy/tests/test_nested.py
@@ -35,7 +35,7 @@
 
 
 def counted(vm):
-    tally = vm.daemon._own.counts.tally('vm', 'entries', 'v1')
+    tally = vm.daemon._own_upstream.counts.tally('vm', 'entries', 'v1')
     return sum(one.calls for one in tally.routes)
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -93,13 +93,13 @@
         self._table = MemberTable()
         self._peers = Peers(self._table, settings.vm.id)
         self._tree = DistributionTree(self._table, settings.vm.id)
-        self._wishes = DesiredState()
+        self._desired_state = DesiredState()
         self._stats = CallStats()
         self._gate = SuspectGate(
             Quarantine(block_jitter=_PATIENCE * context.random.random()),
             wall=lambda: context.now().timestamp(),
         )
-        self._own = OwnUpstream(
+        self._own_upstream = OwnUpstream(
             OwnerContext(
                 names=context.names,
                 address=settings.upstream_address,
@@ -111,15 +111,15 @@
         )
         self._moving = Moving(
             own_vm=settings.vm.id,
-            own=self._own,
+            own=self._own_upstream,
             store=context.store,
-            wishes=self._wishes,
+            desired_state=self._desired_state,
             peers=self._peers,
-            has_verdicts=lambda: self._wishes.has_verdicts,
+            has_verdicts=lambda: self._desired_state.has_verdicts,
         )
         self._follower = Follower(
             store=context.store,
-            wishes=self._wishes,
+            desired_state=self._desired_state,
             peers=self._peers,
             random=context.random,
             tree=self._tree,
@@ -129,9 +129,9 @@
             own=self._own_record(),
             table=self._table,
             peers=self._peers,
-            wishes=self._wishes,
+            desired_state=self._desired_state,
             random=context.random,
-            recall=self._own.recall,
+            recall=self._own_upstream.recall,
             follower=self._follower,
             tree=self._tree,
             counted=self._moving.take_tally,
@@ -144,7 +144,7 @@
             self._tree,
             self._table,
             context.random,
-            is_lost=lambda: self._follower.is_lost,
+            is_lost=lambda: self._follower.is_store_lost,
             found_nobody=self._follower.begin,
             quarantine=self._gate.quarantine,
         )
@@ -194,7 +194,7 @@
 
     def is_ready(self) -> bool:
         """Whether callers may be sent here."""
-        return not self._is_stopping and self._wishes.table is not None
+        return not self._is_stopping and self._desired_state.table is not None
 
     def _own_record(self) -> MemberRecord:
         settings = self._context.settings
@@ -215,10 +215,10 @@
         ingress = Ingress(
             IngressContext(
                 names=context.names,
-                table=lambda: self._wishes.table,
-                shares=self._wishes.shares,
+                table=lambda: self._desired_state.table,
+                shares=self._desired_state.shares,
                 peers=self._peers,
-                own=self._own,
+                own=self._own_upstream,
                 stats=self._stats,
                 gate=self._gate,
                 origin=context.settings.vm.service,
@@ -228,12 +228,12 @@
             ),
         )
         passed_on = PassedOn(
-            self._own,
+            self._own_upstream,
             context.names,
-            lambda: self._wishes.known,
+            lambda: self._desired_state.known,
         )
         announcements = Announcements(
-            self._own,
+            self._own_upstream,
             read=context.read_announcement,
             is_known=self._is_known,
             has_met=self._gossip.has_met,
@@ -258,7 +258,7 @@
         )
 
     def _caller_limits(self) -> ServerLimits:
-        table = self._wishes.table
+        table = self._desired_state.table
         if table is None:
             return _DEFAULTS
         limits = table.configuration.limits
@@ -303,14 +303,14 @@
         while True:
             await trio.sleep(_SWEEP)
             self._peers.sweep()
-            self._own.sweep()
+            self._own_upstream.sweep()
             self._gate.sweep()
 
     async def _stop(self) -> None:
         grace = self._context.settings.stop.grace / 1000
         end = trio.current_time() + grace - _END_TIME
         self._is_stopping = True
-        self._own.stop()
+        self._own_upstream.stop()
         self._gossip.update(upstream=self._upstream_told(), leaving=True)
         for server in self._servers:
             server.is_stopping = True
@@ -323,21 +323,21 @@
                 nursery.start_soon(self._finish_callers)
                 # The owner refuses all by now, in words that a daemon knows.
                 await self._daemons.shut_down(reject_late=False)
-        if self._own.in_hand:
-            self._own.give_up()
+        if self._own_upstream.in_hand:
+            self._own_upstream.give_up()
             await trio.sleep(_LAST_ANSWERS)
 
     async def _finish_callers(self) -> None:
         """Serve to its end what is in hand, with the calls that it makes."""
         await self._callers.shut_down(
             admit_late=self._is_nested,
-            keep_accepting=lambda: self._own.in_hand > 0,
+            keep_accepting=lambda: self._own_upstream.in_hand > 0,
         )
 
     def _is_nested(self, head: RequestHead) -> bool:
         """Whether a request is a call of one that the own upstream runs."""
         id = get_header(head.headers, self._context.names.request_id)
-        return id is not None and self._own.find_parent(id) is not None
+        return id is not None and self._own_upstream.find_parent(id) is not None
 
     def _tell_upstream(self) -> None:
         self._gossip.update(
@@ -349,10 +349,10 @@
             self._registrar.request()
 
     def _upstream_told(self) -> UpstreamRecord | None:
-        return self._own.register.current
+        return self._own_upstream.register.current
 
     def _allows(self, upstream: UpstreamRecord) -> bool:
-        shares = self._wishes.shares(upstream.service)
+        shares = self._desired_state.shares(upstream.service)
         return shares.allows(upstream.version)
 
     def _is_known(self, beat: Heartbeat) -> bool:
@@ -360,7 +360,7 @@
 
         Before any configuration is known, the one of the settings.
         """
-        table = self._wishes.table
+        table = self._desired_state.table
         if beat.service == self._context.settings.vm.service:
             return True
         return table is not None and (
@@ -382,22 +382,25 @@
     def _read_gauges(self) -> dict[str, tuple[str, float]]:
         from verbenamill_sidecar.metrics import age_of  # noqa: PLC0415
 
-        upstream = self._own.register.current
+        upstream = self._own_upstream.register.current
         is_up = upstream is not None and upstream.state is UpstreamState.READY
         return {
             'configuration_version': (
                 'Version of the configuration in force.',
-                self._wishes.version,
+                self._desired_state.version,
             ),
             'store_read_age_seconds': (
                 'Time since the last answer to a read of the store.',
                 age_of(self._follower.read_at),
             ),
             'members': ('Daemons known.', len(self._table)),
-            'moves': ('Running moves.', len(self._wishes.running())),
+            'moves': ('Running moves.', len(self._desired_state.running())),
             'upstream_ready': ('Whether the upstream takes work.', is_up),
-            'upstream_running': ('Requests at it.', self._own.running),
-            'upstream_waiting': ('Requests in the queue.', self._own.waiting),
+            'upstream_running': ('Requests at it.', self._own_upstream.running),
+            'upstream_waiting': (
+                'Requests in the queue.',
+                self._own_upstream.waiting,
+            ),
             'gossip_received': (
                 'Datagrams received.',
                 self._gossip.traffic.received,
@@ -408,19 +411,21 @@
             ),
             'upstream_limit': (
                 'Requests a second that the upstream takes; -1 without limit.',
-                -1 if self._own.limits.rate is None else self._own.limits.rate,
+                -1
+                if self._own_upstream.limits.rate is None
+                else self._own_upstream.limits.rate,
             ),
             'upstream_limit_sent': (
                 'Requests sent to it while it named a limit.',
-                self._own.limits.counts.sent,
+                self._own_upstream.limits.counts.sent,
             ),
             'upstream_limit_refused': (
                 'Requests refused for its limit.',
-                self._own.limits.counts.refused,
+                self._own_upstream.limits.counts.refused,
             ),
             'upstream_crashes': (
                 'Crashes of the upstream since the start.',
-                self._own.crashes.count,
+                self._own_upstream.crashes.count,
             ),
             'requests_suspected': (
                 'Requests under which upstreams crashed, blocked or not.',
--- a/libs/sidecar/src/verbenamill_sidecar/desired_state.py
+++ b/libs/sidecar/src/verbenamill_sidecar/desired_state.py
@@ -150,7 +150,7 @@
             return Progress(service=order.service, order=order.id)
         return known
 
-    def take_configuration(
+    def apply_configuration(
         self,
         configuration: Configuration,
         source: str,
@@ -231,7 +231,7 @@
     def take_all(self, other: StateSnapshot, source: str) -> None:
         """Take in all that another daemon knows."""
         if other.configuration is not None:
-            self.take_configuration(other.configuration, source)
+            self.apply_configuration(other.configuration, source)
         # Verdicts first: an order without its verdict seems to run still.
         for verdict in other.verdicts:
             self.take_settled(verdict)
--- a/libs/sidecar/src/verbenamill_sidecar/dissemination.py
+++ b/libs/sidecar/src/verbenamill_sidecar/dissemination.py
@@ -52,7 +52,7 @@
         own: MemberRecord,
         table: MemberTable,
         neighbours: Neighbours,
-        wishes: DesiredState,
+        desired_state: DesiredState,
         send: Send,
         recall: Callable[[UpstreamRecord], None],
         gate: SuspectGate,
@@ -61,7 +61,7 @@
         self._own = own
         self._table = table
         self._neighbours = neighbours
-        self._wishes = wishes
+        self._desired_state = desired_state
         self._send = send
         self._recall = recall
         self._hot = ActiveRumors()
@@ -119,7 +119,7 @@
     def take_progress(self, progress: Progress) -> None:
         """Take in how far a move is, and pass it on."""
         key = RumorKey(RumorKind.PROGRESS, progress.service)
-        if self._wishes.take_progress(progress):
+        if self._desired_state.take_progress(progress):
             self._hot.start(key)
         else:
             self._hot.record_duplicate(key)
@@ -127,20 +127,20 @@
     def take_settled(self, settled: SettledOrder) -> None:
         """Take in a verdict, and pass it on."""
         key = RumorKey(RumorKind.VERDICT, settled.service)
-        if self._wishes.take_settled(settled):
+        if self._desired_state.take_settled(settled):
             self._hot.start(key)
         else:
             self._hot.record_duplicate(key)
 
     def tell_progress(self, progress: Progress) -> None:
         """Tell how far a move is that this daemon decides."""
-        if self._wishes.take_progress(progress):
+        if self._desired_state.take_progress(progress):
             self._publish(RumorKey(RumorKind.PROGRESS, progress.service))
             self.next_round()
 
     def tell_settled(self, settled: SettledOrder) -> None:
         """Tell a verdict that this daemon has written."""
-        if self._wishes.take_settled(settled):
+        if self._desired_state.take_settled(settled):
             self._publish(RumorKey(RumorKind.VERDICT, settled.service))
             self.next_round()
 
@@ -223,10 +223,10 @@
                     record = self._table.get(VmId(key.name))
                     members += [] if record is None else [record]
                 case RumorKind.PROGRESS:
-                    known = self._wishes.known.progress
+                    known = self._desired_state.known.progress
                     moves.progress.append(known[ServiceName(key.name)])
                 case RumorKind.VERDICT:
-                    verdicts = self._wishes.known.settled
+                    verdicts = self._desired_state.known.settled
                     moves.settled.append(verdicts[ServiceName(key.name)])
                 case RumorKind.SUSPECT:
                     suspects += self._find_suspect(key)
--- a/libs/sidecar/src/verbenamill_sidecar/gossip.py
+++ b/libs/sidecar/src/verbenamill_sidecar/gossip.py
@@ -93,7 +93,7 @@
         own: MemberRecord,
         table: MemberTable,
         peers: Peers,
-        wishes: DesiredState,
+        desired_state: DesiredState,
         random: Random,
         recall: Callable[[UpstreamRecord], None],
         follower: Follower,
@@ -103,7 +103,7 @@
     ) -> None:
         self._table = table
         self._peers = peers
-        self._wishes = wishes
+        self._desired_state = desired_state
         self._random = random
         self._follower = follower
         self._tree = tree
@@ -120,7 +120,7 @@
             own=own,
             table=table,
             neighbours=self._neighbours,
-            wishes=wishes,
+            desired_state=desired_state,
             send=self._send,
             recall=recall,
             gate=gate,
@@ -129,7 +129,7 @@
             own=lambda: self._news.own,
             table=table,
             neighbours=self._neighbours,
-            wishes=wishes,
+            desired_state=desired_state,
             send=self._send,
             quarantine=gate.quarantine,
         )
@@ -229,7 +229,7 @@
 
     def notify(self, kind: NoticeKind) -> None:
         """Tell others what is known here of the store's content."""
-        notice = Notice(self.own.vm, self._wishes.stamp, kind)
+        notice = Notice(self.own.vm, self._desired_state.stamp, kind)
         is_news = kind is NoticeKind.NEWS
         to = self._tree.heads if is_news else self._tree.children
         for record in to:
@@ -302,7 +302,7 @@
         self._hear(message.sender)
         if self._table.get(message.sender) is None:
             self._introduce(message.sender, source)
-        is_behind = self._wishes.lacks(message.stamp)
+        is_behind = self._desired_state.lacks(message.stamp)
         match message.kind:
             case NoticeKind.NEWS:
                 self._follower.hear_stamp(message.sender, message.stamp)
@@ -365,7 +365,7 @@
 
     def _take_summary(self, message: Summary, sender: MemberRecord) -> None:
         self._follower.hear_stamp(message.sender, message.stamp)
-        if self.own.leaving and not self._wishes.lacks(message.stamp):
+        if self.own.leaving and not self._desired_state.lacks(message.stamp):
             self._tree.hear_notice()
         self._reconciliation.take_summary(message, sender)
         self.has_met.set()
--- a/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
+++ b/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
@@ -65,7 +65,7 @@
         own: Callable[[], MemberRecord],
         table: MemberTable,
         neighbours: Neighbours,
-        wishes: DesiredState,
+        desired_state: DesiredState,
         send: Send,
         quarantine: Quarantine,
     ) -> None:
@@ -73,7 +73,7 @@
         self._own = own
         self._table = table
         self._neighbours = neighbours
-        self._wishes = wishes
+        self._desired_state = desired_state
         self._send = send
         self._allowance = ALLOWANCE
 
@@ -96,8 +96,8 @@
         return Summary(
             sender=self._own().vm,
             zones=self._table.digests,
-            moves=_digest_moves(self._wishes),
-            stamp=self._wishes.stamp,
+            moves=_digest_moves(self._desired_state),
+            stamp=self._desired_state.stamp,
             is_reply=is_reply,
             blocked=self._quarantine.digest,
         )
@@ -106,7 +106,7 @@
         """Answer digests of zones with those of parts that differ."""
         if not message.is_reply:
             self._send(sender, self.summarize(is_reply=True))
-        if message.moves != _digest_moves(self._wishes):
+        if message.moves != _digest_moves(self._desired_state):
             self._send_moves(sender)
         if message.blocked != self._quarantine.digest:
             self._send_suspects(sender)
@@ -216,7 +216,7 @@
             self._send(to, message)
 
     def _send_moves(self, to: MemberRecord) -> None:
-        known = self._wishes.known
+        known = self._desired_state.known
         progress = list(known.progress.values())
         settled = list(known.settled.values())
         for start in range(0, max(len(progress), len(settled)), _MOVES):
@@ -231,12 +231,12 @@
     return -suspect.changed_at
 
 
-def _digest_moves(wishes: DesiredState) -> int:
+def _digest_moves(desired_state: DesiredState) -> int:
     """Digest of stages and verdicts, without the ages of moves."""
     found = 0
-    for progress in wishes.known.progress.values():
+    for progress in desired_state.known.progress.values():
         found ^= _digest(msgspec.structs.replace(progress, age=0))
-    for settled in wishes.known.settled.values():
+    for settled in desired_state.known.settled.values():
         found ^= _digest(settled)
     return found
 
--- a/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
+++ b/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
@@ -70,7 +70,7 @@
         own_vm: VmId,
         own: OwnUpstream,
         store: Store,
-        wishes: DesiredState,
+        desired_state: DesiredState,
         peers: Peers,
         has_verdicts: Callable[[], bool],
     ) -> None:
@@ -78,7 +78,7 @@
         self._own_vm = own_vm
         self._own = own
         self._store = store
-        self._wishes = wishes
+        self._desired_state = desired_state
         self._peers = peers
         self._gossip: Gossip | None = None
         self._moves: dict[int, _Move] = {}
@@ -95,13 +95,13 @@
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(STEP)
-                for order in self._wishes.running():
+                for order in self._desired_state.running():
                     self._step(order, nursery)
 
     def _step(self, order: Order, nursery: trio.Nursery) -> None:
         now = trio.current_time()
         move = self._moves.setdefault(order.id, _Move(order, now))
-        known = self._wishes.progress_of(order)
+        known = self._desired_state.progress_of(order)
         move.begun_at = min(move.begun_at, now - known.age)
         decider = self._find_decider(order, now)
         self._report(order, decider, now)
--- a/libs/sidecar/src/verbenamill_sidecar/store_follower.py
+++ b/libs/sidecar/src/verbenamill_sidecar/store_follower.py
@@ -65,7 +65,7 @@
         self,
         *,
         store: Store,
-        wishes: DesiredState,
+        desired_state: DesiredState,
         peers: Peers,
         random: Random,
         tree: DistributionTree,
@@ -74,7 +74,7 @@
         self._tree = tree
         self._notify = notify
         self._store = store
-        self._wishes = wishes
+        self._desired_state = desired_state
         self._peers = peers
         self._random = random
         self._position: int | None = None
@@ -89,7 +89,7 @@
         self.read_at = float('-inf')
 
     @property
-    def is_lost(self) -> bool:
+    def is_store_lost(self) -> bool:
         """Whether the last call to the store failed."""
         return self._is_lost
 
@@ -119,9 +119,9 @@
 
     def hear_stamp(self, vm: VmId, stamp: Stamp) -> None:
         """Take in what another daemon knows, in short."""
-        if self._wishes.lacks(stamp):
+        if self._desired_state.lacks(stamp):
             self.is_behind(vm, stamp, is_parent=False)
-        elif self._wishes.version < 0:
+        elif self._desired_state.version < 0:
             self._hear_ignorance(vm)
 
     def is_behind(self, vm: VmId, stamp: Stamp, *, is_parent: bool) -> None:
@@ -165,7 +165,7 @@
             # of each kind is one call.
             self._has_idled = False
             self._position = None
-        if not self._wishes.has_verdicts:
+        if not self._desired_state.has_verdicts:
             # A version that was taken back may run without an order, and an
             # order without its verdict seems to run still.
             return await self._read_verdicts()
@@ -216,16 +216,20 @@
         for unreadable in published.faults:
             log(Event.RECORD_UNREADABLE, reason=unreadable)
         if published.configuration is not None:
-            self._wishes.take_configuration(published.configuration, 'store')
+            self._desired_state.apply_configuration(
+                published.configuration, 'store'
+            )
         for order in published.orders:
-            self._wishes.take_order(order)
+            self._desired_state.take_order(order)
         self._position = published.next_position
         self._recover()
 
     async def _read_verdicts(self) -> StoreFault | None:
         match await self._store.read_verdicts():
             case Success(settlements):
-                self._wishes.take_settlements(settlements.settled.values())
+                self._desired_state.take_settlements(
+                    settlements.settled.values()
+                )
                 self._recover()
                 return None
             case Failure(fault):
@@ -244,23 +248,23 @@
             log(
                 Event.STORE_LOST,
                 fault=fault.value,
-                version=self._wishes.version,
+                version=self._desired_state.version,
             )
         return fault
 
     async def _tell(self) -> None:
         """Tell others of all that is new, and that they are up to date."""
-        told = self._wishes.stamp
+        told = self._desired_state.stamp
         told_at = float('-inf')
         was = (False, False)
         while True:
             now = trio.current_time()
-            is_news = self._wishes.stamp != told
+            is_news = self._desired_state.stamp != told
             # Who steps in for a reader tells it before the next one does so,
             # and a reader that gets no answer is replaced at once.
             state = (self._is_reading(), self._is_lost)
             if is_news or state != was or now - told_at >= NOTICE_PERIOD:
-                told = self._wishes.stamp
+                told = self._desired_state.stamp
                 told_at = now
                 self._tell_now(is_news=is_news)
             was = state
@@ -286,20 +290,20 @@
     async def _fetch(self, peer: Peer, stamp: Stamp, is_parent: bool) -> None:
         """Get from another daemon what the store did not bring in time."""
         try:
-            before = self._wishes.stamp
+            before = self._desired_state.stamp
             await trio.sleep(self._head_start(is_parent))
             # The store brings the rest as well, if it has brought something.
-            is_served = not is_parent and self._wishes.stamp != before
-            if self._wishes.lacks(stamp) and not is_served:
+            is_served = not is_parent and self._desired_state.stamp != before
+            if self._desired_state.lacks(stamp) and not is_served:
                 with trio.move_on_after(_FETCH_TIMEOUT):
                     await self._fetch_now(peer)
-                if is_parent and not self._wishes.lacks(stamp):
+                if is_parent and not self._desired_state.lacks(stamp):
                     self._tree.hear_notice()
         finally:
             self._fetching.discard(peer.record.vm)
 
     def _head_start(self, is_parent: bool) -> float:
-        if self._wishes.version < 0:
+        if self._desired_state.version < 0:
             return 0
         # Both parents tell the same at about the same time; the second one
         # is asked only if the first does not answer.
@@ -309,11 +313,11 @@
     async def _fetch_now(self, peer: Peer) -> None:
         known = await fetch_snapshot(peer.pool)
         if known is not None:
-            self._wishes.take_all(known, peer.record.vm)
+            self._desired_state.take_all(known, peer.record.vm)
             self._begin_informed()
 
     def _begin_informed(self) -> None:
         """A neighbour has told all; its notices will come."""
-        if not self._begun.is_set() and self._wishes.version >= 0:
+        if not self._begun.is_set() and self._desired_state.version >= 0:
             self._begun.set()
             self._tree.hear_notice()
--- a/libs/sidecar/tests/test_desired_state.py
+++ b/libs/sidecar/tests/test_desired_state.py
@@ -12,9 +12,9 @@
     # A bad version is taken back; its upstreams drain some seconds later.
     # Before that, the operator orders the move to the next version. Counted
     # among the old versions, the bad one would get requests again.
-    wishes = DesiredState()
-    wishes.take_order(Order(id=1, service='s', target='v2', window=6))
-    wishes.take_settled(
+    desired_state = DesiredState()
+    desired_state.take_order(Order(id=1, service='s', target='v2', window=6))
+    desired_state.take_settled(
         SettledOrder(
             order=1,
             service='s',
@@ -22,10 +22,10 @@
             verdict=Verdict.TAKEN_BACK,
         ),
     )
-    assert not wishes.shares('s').allows('v2')
-    wishes.take_order(Order(id=2, service='s', target='v3', window=6))
-    assert wishes.shares('s').allows('v1')
-    assert not wishes.shares('s').allows('v2')
+    assert not desired_state.shares('s').allows('v2')
+    desired_state.take_order(Order(id=2, service='s', target='v3', window=6))
+    assert desired_state.shares('s').allows('v1')
+    assert not desired_state.shares('s').allows('v2')
 
 
 def _verdict(order, target, verdict):
@@ -54,9 +54,9 @@
     # An operator orders the version once more after it was taken back, and
     # it is found good. In the move after that it is the old version, which
     # has to carry all requests until the next one is trusted.
-    wishes = DesiredState()
-    wishes.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
-    wishes.take_settled(_verdict(3, 'v2', Verdict.DONE))
-    wishes.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
-    wishes.take_order(Order(id=4, service='s', target='v3', window=6))
-    assert wishes.shares('s').allows('v2')
+    desired_state = DesiredState()
+    desired_state.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
+    desired_state.take_settled(_verdict(3, 'v2', Verdict.DONE))
+    desired_state.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
+    desired_state.take_order(Order(id=4, service='s', target='v3', window=6))
+    assert desired_state.shares('s').allows('v2')
--- a/libs/sidecar/tests/test_dissemination.py
+++ b/libs/sidecar/tests/test_dissemination.py
@@ -73,7 +73,7 @@
         self.vm = record.vm
         self.zone = record.availability_zone
         self.table = MemberTable()
-        self.wishes = DesiredState()
+        self.desired_state = DesiredState()
         self.recalled = []
         self.gate = SuspectGate(
             Quarantine(),
@@ -92,7 +92,7 @@
             own=record,
             table=self.table,
             neighbours=neighbours,
-            wishes=self.wishes,
+            desired_state=self.desired_state,
             send=self._send,
             recall=self.recalled.append,
             gate=self.gate,
@@ -101,7 +101,7 @@
             own=lambda: self.news.own,
             table=self.table,
             neighbours=neighbours,
-            wishes=self.wishes,
+            desired_state=self.desired_state,
             send=self._send,
             quarantine=self.gate.quarantine,
         )
@@ -340,7 +340,7 @@
     fleet.daemons['0-0'].news.tell_progress(progress)
     fleet.rounds_until(
         lambda: all(
-            daemon.wishes.known.progress.get('s')
+            daemon.desired_state.known.progress.get('s')
             for daemon in fleet.daemons.values()
         ),
         4 * COMPARED,
--- a/libs/sidecar/tests/test_gossip.py
+++ b/libs/sidecar/tests/test_gossip.py
@@ -25,12 +25,12 @@
 class FakeFollower:
     """Notes who knows more."""
 
-    def __init__(self, wishes):
-        self._wishes = wishes
+    def __init__(self, desired_state):
+        self._desired_state = desired_state
         self.behind = []
 
     def hear_stamp(self, vm, stamp):
-        if self._wishes.lacks(stamp):
+        if self._desired_state.lacks(stamp):
             self.behind.append(vm)
 
     def is_behind(self, vm, stamp, *, is_parent):
@@ -43,8 +43,8 @@
     def __init__(self, vm, *, incarnation=1, port=0):
         self.recalled = []
         self.table = MemberTable()
-        self.wishes = DesiredState()
-        self.follower = FakeFollower(self.wishes)
+        self.desired_state = DesiredState()
+        self.follower = FakeFollower(self.desired_state)
         record = MemberRecord(
             vm=vm,
             incarnation=incarnation,
@@ -57,7 +57,7 @@
             own=record,
             table=self.table,
             peers=Peers(self.table, vm),
-            wishes=self.wishes,
+            desired_state=self.desired_state,
             random=Random(vm),
             recall=self.recalled.append,
             follower=self.follower,
@@ -114,7 +114,9 @@
         await until(lambda: all(node.knows('vm3').upstream for node in nodes))
         nodes[1].gossip.tell_progress(Progress('s', 7, 2, vetoed=True))
         await until(
-            lambda: all('s' in node.wishes.known.progress for node in nodes),
+            lambda: all(
+                's' in node.desired_state.known.progress for node in nodes
+            ),
         )
 
     trio.run(run_nodes, nodes, check)
@@ -173,7 +175,7 @@
 
     async def check(nursery):
         await until(lambda: all(len(node.table) == 2 for node in nodes))
-        nodes[0].wishes.take_configuration(make_configuration(), 'test')
+        nodes[0].desired_state.apply_configuration(make_configuration(), 'test')
         await until(lambda: 'vm0' in nodes[1].follower.behind)
 
     trio.run(run_nodes, nodes, check)
--- a/libs/sidecar/tests/test_silence.py
+++ b/libs/sidecar/tests/test_silence.py
@@ -38,7 +38,7 @@
             own=own,
             table=table,
             peers=self.peers,
-            wishes=DesiredState(),
+            desired_state=DesiredState(),
             random=Random(1),
             recall=lambda _: None,
             follower=None,
--- a/libs/sidecar/tests/test_store_follower.py
+++ b/libs/sidecar/tests/test_store_follower.py
@@ -69,12 +69,12 @@
     def __init__(self, nursery):
         self._nursery = nursery
         self._table = MemberTable()
-        self.wishes = DesiredState()
+        self.desired_state = DesiredState()
         self._add('own', 1)
         self.peers = Peers(self._table, 'own')
         self.follower = Follower(
             store=CutStore(),
-            wishes=self.wishes,
+            desired_state=self.desired_state,
             peers=self.peers,
             random=Random(1),
             tree=DistributionTree(self._table, 'own'),
@@ -100,7 +100,7 @@
 
     async def in_step(self):
         with trio.fail_after(15):
-            while self.wishes.version != NEWEST:
+            while self.desired_state.version != NEWEST:
                 await trio.sleep(0.01)
 
 
