--- a/deploy/tests/test_failures.py
+++ b/deploy/tests/test_failures.py
@@ -4,7 +4,7 @@
 from trio.testing import MockClock
 
 from verbenamill_platform.store import READ_TIMEOUT
-from verbenamill_platform_standins.serving import HttpResponse
+from verbenamill_platform_standins.http_server import HttpResponse
 from verbenamill_policy.routes import RouteKind
 from verbenamill_sidecar.store_follower import LONG_POLL_TIMEOUT
 from verbenamill_sidecar.hop import HopCall, encode_hop
--- a/deploy/tests/test_moves.py
+++ b/deploy/tests/test_moves.py
@@ -3,7 +3,7 @@
 import pytest
 import trio
 
-from verbenamill_platform_standins.serving import HttpResponse
+from verbenamill_platform_standins.http_server import HttpResponse
 
 
 def order(site, window):
--- a/deploy/tests/test_nested.py
+++ b/deploy/tests/test_nested.py
@@ -5,7 +5,7 @@
 import trio
 from trio.testing import MockClock
 
-from verbenamill_platform_standins.serving import HttpResponse
+from verbenamill_platform_standins.http_server import HttpResponse
 
 WORK = 0.3
 
--- a/deploy/tests/test_path.py
+++ b/deploy/tests/test_path.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from verbenamill_platform_standins.serving import HttpResponse
+from verbenamill_platform_standins.http_server import HttpResponse
 
 
 def test_a_call_is_answered_by_the_own_or_another_vm(play):
--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -6,8 +6,8 @@
 
 from verbenamill_http.addresses import parse_address
 from verbenamill_http.client import ClientResponse
-from verbenamill_platform_standins.serving import HttpResponse
-from verbenamill_policy.placement import FIRST_PAUSE
+from verbenamill_platform_standins.http_server import HttpResponse
+from verbenamill_policy.placement import INITIAL_BACKOFF
 from verbenamill_sidecar import ingress as ingress_module
 from verbenamill_sidecar.call import Fate, Outcome, not_run, unknown
 from verbenamill_sidecar.passing_on import pass_on
@@ -192,7 +192,7 @@
             nursery.start_soon(call_one, ingress, answers, '/lookup/2')
             await site.until(lambda: is_running(owner))
             assert (await ingress.call('/lookup/3')).status == 503
-        await trio.sleep(FIRST_PAUSE)
+        await trio.sleep(INITIAL_BACKOFF)
         await call_one(ingress, answers, '/lookup/4')
         assert [answer.status for answer in answers] == [200, 200]
 
--- a/libs/soak/src/verbenamill_soak/upstreams.py
+++ b/libs/soak/src/verbenamill_soak/upstreams.py
@@ -6,7 +6,7 @@
 
 from verbenamill_platform_standins import UpstreamStandIn
 from verbenamill_platform_standins.callers import SEAL_HEADER
-from verbenamill_platform_standins.serving import HttpRequest, HttpResponse
+from verbenamill_platform_standins.http_server import HttpRequest, HttpResponse
 
 #: Path of the request that crashes each upstream that runs it.
 DEADLY = '/lookup/deadly'
