--- a/libs/policy/src/verbenamill_policy/__init__.py
+++ b/libs/policy/src/verbenamill_policy/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions about traffic as plain functions and small states, without I/O.
+"""Traffic decisions as pure functions and small state objects, without I/O.
 
-Times are seconds on a monotonic clock, passed in by the caller, so that a
-test or an emulator can run the same code on a clock of its own.
+Times are in seconds on a monotonic clock and are passed in by the caller, so
+that a test or an emulator can run the same code on a simulated clock.
 """
--- a/libs/policy/src/verbenamill_policy/admission.py
+++ b/libs/policy/src/verbenamill_policy/admission.py
@@ -1,4 +1,4 @@
-"""Slots of the own upstream, and the queue in front of them."""
+"""Slots of the local upstream, and the queue in front of them."""
 
 from collections.abc import Callable
 from enum import Enum, unique
@@ -7,15 +7,16 @@
 from verbenamill_policy.pacing import TokenBucket
 from verbenamill_policy.service_times import ServiceTimes
 
-#: Share of the time left that a wait and the work behind it may take. The
-#: rest is for the way back.
+#: Share of the remaining time that the wait and the work after it may take.
+#: The rest covers the transfer of the answer.
 HEADROOM = 0.9
-#: Times its mean that a request is reckoned to take at most. In overload the
-#: queue is as long as it is allowed to be; reckoned with the mean, half of all
-#: answers would come late. About three of four requests take no longer.
-SPREAD = 1.25
-#: Requests that may wait for each slot: with more, the last would wait for
-#: several service times, longer than any latency objective seen.
+#: Factor on the mean service time that a request is planned with. In overload
+#: the queue is as long as it is allowed to be; planned with the mean alone,
+#: half of all answers would be late. About three of four requests take no
+#: longer than this.
+SERVICE_TIME_MARGIN = 1.25
+#: Maximum queue length for each slot. With more, the last request would wait
+#: for several service times, longer than any latency objective in use.
 QUEUE_FACTOR = 4
 
 
@@ -27,35 +28,36 @@
     SHED = 'shed'
 
 
-def fits_behind(
+def is_worth_waiting(
     wait: float,
     expected: float,
     *,
-    left: float | None,
-    patience: float,
+    time_to_objective: float | None,
+    time_to_deadline: float,
 ) -> bool:
-    """Whether an answer after some wait is worth the wait.
+    """Whether an answer after some wait is still useful.
 
     :param expected: service time, in seconds.
-    :param left: time to the objective; ``None`` if that is missed in any case.
-    :param patience: time until the caller gives up, in seconds.
+    :param time_to_objective: time left to the objective in seconds; ``None``
+        if it is missed in any case.
+    :param time_to_deadline: time until the caller gives up, in seconds.
     """
-    if left is None:
-        return wait + expected <= patience * HEADROOM
-    return wait + SPREAD * expected <= left * HEADROOM
+    if time_to_objective is None:
+        return wait + expected <= time_to_deadline * HEADROOM
+    return wait + SERVICE_TIME_MARGIN * expected <= time_to_objective * HEADROOM
 
 
 class AdmissionRequest:
-    """A request that runs or waits.
+    """A request that runs at the upstream or waits in the queue.
 
     :param latency_objective: latency objective of its route in seconds; 0 if
         not known.
-    :param due: when its answer is due, on the monotonic clock.
-    :param objective: until when an answer is worth waiting for in full.
-    :param deadline: when its caller gives up.
-    :param on_settled: called once, when a request that waits is admitted or
+    :param due: time at which its answer is due, on the monotonic clock.
+    :param objective: time until which an answer has its full value.
+    :param deadline: time at which its caller gives up.
+    :param on_settled: called once, when a waiting request is admitted or
         refused.
-    :ivar expected: its service time as reckoned when it came, in seconds.
+    :ivar expected: service time expected at its arrival, in seconds.
     """
 
     __slots__ = (
@@ -101,218 +103,239 @@
 
     @property
     def order(self) -> tuple[int, bool, float]:
-        """Place in the queue; the lowest goes first.
+        """Sort key in the queue; the lowest goes first.
 
-        Within a priority, who has to start first goes first. By the time
-        that an answer is due, long work would always stand behind the short
-        work that comes while it waits, and be refused in its place.
+        Within a priority, requests are sorted by the latest time at which
+        they can start. Sorted by the time at which the answer is due, a long
+        request would always stay behind the short ones that arrive while it
+        waits, and be refused in their place.
 
-        Who cannot be answered in time any more comes behind all those of the
-        same priority who can: in front, it would make them late as well.
+        A request that can no longer meet its objective comes behind all
+        those of the same priority that can; ahead of them, it would make
+        them late as well.
         """
         priority, due = self._order
-        return priority, self.is_late, due - SPREAD * self.expected
+        return (
+            priority,
+            self.is_late,
+            due - SERVICE_TIME_MARGIN * self.expected,
+        )
 
 
 class Admission:
     """Slots and queue of one upstream.
 
-    The upstream never gets more than its slots: its own queue knows no
-    priorities, and one that is full may reset connections. Who cannot be
-    served in time is refused when that is known, so that its caller can go
-    elsewhere while there is time.
+    The upstream never gets more requests than it has slots: its own queue
+    knows no priorities, and may reset connections once it is full. A request
+    that cannot be served in time is refused as soon as that is known, so that
+    its caller can try another upstream while there is time.
     """
 
     def __init__(self, *, slots: int) -> None:
         self.slots = slots
         self.times = ServiceTimes()
-        self._pace: TokenBucket | None = None
+        self._bucket: TokenBucket | None = None
         self._running: set[AdmissionRequest] = set()
         self._waiting: list[AdmissionRequest] = []
 
     @property
     def running(self) -> int:
-        """Requests at the upstream."""
+        """Number of requests at the upstream."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._waiting)
 
     @property
     def load(self) -> int:
-        """Requests at the upstream and in the queue."""
+        """Number of requests at the upstream and in the queue."""
         return len(self._running) + len(self._waiting)
 
     @property
     def is_paced(self) -> bool:
-        """Whether requests begin at a limited rate."""
-        return self._pace is not None
+        """Whether requests start at a limited rate."""
+        return self._bucket is not None
 
     def set_rate(self, rate: float | None, now: float) -> None:
-        """Let requests begin at a rate, in requests a second.
+        """Set the rate at which requests start, in requests a second.
 
-        :param rate: ``None`` lets them begin as slots come free.
+        :param rate: ``None`` removes the limit, so that only slots count.
         """
         if rate is None:
-            self._pace = None
-        elif self._pace is None:
-            self._pace = TokenBucket(rate, now)
+            self._bucket = None
+        elif self._bucket is None:
+            self._bucket = TokenBucket(rate, now)
         else:
-            self._pace.set_rate(rate, now)
-        self._shed_overtaken(0, now)
+            self._bucket.set_rate(rate, now)
+        self._shed_delayed(0, now)
         self.admit(now)
 
     def record_resend(self, now: float) -> None:
-        """A request is sent once more."""
-        if self._pace is not None:
-            self._pace.take(now)
+        """Charge the rate limit for a request that is sent a second time."""
+        if self._bucket is not None:
+            self._bucket.take(now)
 
     def record_unsent(self, now: float) -> None:
-        """A request that was admitted has not been sent."""
-        if self._pace is not None:
-            self._pace.give_back(now)
+        """Refund an admitted request that was not sent."""
+        if self._bucket is not None:
+            self._bucket.give_back(now)
 
     def next_start(self, now: float) -> float:
-        """When the next request may begin whose slot is free already."""
-        pace = self._pace
-        if pace is None or len(self._running) >= self.slots:
+        """Time at which the rate limit lets the next request use a free slot.
+
+        It is infinite without a rate limit or a free slot.
+        """
+        bucket = self._bucket
+        if bucket is None or len(self._running) >= self.slots:
             return float('inf')
-        return now + pace.wait(0, now)
+        return now + bucket.wait(0, now)
 
     def rate_limit_wait(self, priority: int, now: float) -> float:
-        """Time until a request of a priority may begin for the rate, in s."""
-        if self._pace is None:
+        """Time until the rate limit allows a new request, in seconds."""
+        if self._bucket is None:
             return 0
         ahead = sum(one.priority <= priority for one in self._waiting)
-        return self._pace.wait(ahead, now)
+        return self._bucket.wait(ahead, now)
 
     def acquire(
-        self, ticket: AdmissionRequest, now: float
+        self, request: AdmissionRequest, now: float
     ) -> AdmissionResult | None:
-        """Ask for a slot; ``None`` when the request waits for one."""
-        ticket.expected = self.times.expect(
-            ticket.route, objective=ticket.latency_objective
+        """Request a slot; ``None`` means that the request waits for one."""
+        request.expected = self.times.expect(
+            request.route, objective=request.latency_objective
         )
         if not self._waiting and self._may_start(now):
-            self._start(ticket, now)
+            self._start(request, now)
             return AdmissionResult.ADMITTED
-        ticket.is_late = now + SPREAD * ticket.expected > ticket.objective
-        ahead = self._count_ahead(ticket)
-        if not self._fits(ticket, self.expected_wait(ahead, now), now):
+        request.is_late = (
+            now + SERVICE_TIME_MARGIN * request.expected > request.objective
+        )
+        ahead = self._count_ahead(request)
+        if not self._can_wait(request, self.expected_wait(ahead, now), now):
             return AdmissionResult.SHED
         if len(self._waiting) >= QUEUE_FACTOR * max(self.slots, 1):
             if ahead == len(self._waiting):
                 return AdmissionResult.SHED
             self._waiting.pop().on_settled(AdmissionResult.SHED)
-        self._waiting.insert(ahead, ticket)
-        self._shed_overtaken(ahead + 1, now)
+        self._waiting.insert(ahead, request)
+        self._shed_delayed(ahead + 1, now)
         return None
 
     def release(
-        self, ticket: AdmissionRequest, now: float, *, took: float | None
+        self, request: AdmissionRequest, now: float, *, took: float | None
     ) -> None:
-        """Free what a request holds.
+        """Release the slot or the queue position of a request.
 
-        :param took: service time; ``None`` if it tells nothing, as with a
-            request that was cancelled.
+        :param took: service time in seconds; ``None`` if it is not
+            representative, as for a cancelled request.
         """
-        if ticket in self._running:
-            self._running.discard(ticket)
+        if request in self._running:
+            self._running.discard(request)
             if took is not None:
-                self.times.add(ticket.route, took, now)
+                self.times.add(request.route, took, now)
             self.admit(now)
-        elif ticket in self._waiting:
-            self._waiting.remove(ticket)
+        elif request in self._waiting:
+            self._waiting.remove(request)
 
     def admit(self, now: float) -> None:
-        """Give free slots to those who wait."""
+        """Assign free slots to waiting requests."""
         while self._waiting and self._may_start(now):
-            ticket = self._waiting.pop(0)
-            if self._is_hopeless(ticket, now):
-                ticket.on_settled(AdmissionResult.SHED)
+            request = self._waiting.pop(0)
+            if self._is_hopeless(request, now):
+                request.on_settled(AdmissionResult.SHED)
                 continue
-            self._start(ticket, now)
-            ticket.on_settled(AdmissionResult.ADMITTED)
+            self._start(request, now)
+            request.on_settled(AdmissionResult.ADMITTED)
 
     def shed_all(self) -> None:
-        """Refuse all who wait, as when the upstream leaves."""
+        """Refuse all waiting requests, as when the upstream leaves."""
         waiting = self._waiting
         self._waiting = []
-        for ticket in waiting:
-            ticket.on_settled(AdmissionResult.SHED)
+        for request in waiting:
+            request.on_settled(AdmissionResult.SHED)
 
     def expected_wait(self, ahead: int, now: float) -> float:
-        """Expected wait behind some others, in seconds.
+        """Expected wait behind a number of queued requests, in seconds.
 
-        It is reckoned by the work of those who run and wait. The mean of
-        those who ended is another one: short requests end more often than
-        they hold a slot, and after a start only they have ended at all.
+        The estimate uses the expected work of the requests that run and wait.
+        The mean over finished requests would be biased: short requests finish
+        more often than their share of the slots, and right after a start only
+        short ones have finished at all.
         """
-        paced = self._paced_wait(ahead, now)
+        limit_wait = self._limit_wait(ahead, now)
         if ahead < self.slots - len(self._running):
-            return paced
-        work = sum(ticket.expected for ticket in self._waiting[:ahead])
-        return max(self._next_free() + work / max(self.slots, 1), paced)
+            return limit_wait
+        work = sum(request.expected for request in self._waiting[:ahead])
+        return max(
+            self._time_to_free_slot() + work / max(self.slots, 1), limit_wait
+        )
 
     def _may_start(self, now: float) -> bool:
         if len(self._running) >= self.slots:
             return False
-        return self._paced_wait(0, now) <= 0
+        return self._limit_wait(0, now) <= 0
 
-    def _paced_wait(self, ahead: int, now: float) -> float:
-        return 0 if self._pace is None else self._pace.wait(ahead, now)
+    def _limit_wait(self, ahead: int, now: float) -> float:
+        return 0 if self._bucket is None else self._bucket.wait(ahead, now)
 
-    def _next_free(self) -> float:
-        """Expected time until the next slot comes free, in seconds.
+    def _time_to_free_slot(self) -> float:
+        """Expected time until the next slot becomes free, in seconds.
 
-        Each of those who run ends at a rate of one in its expected time.
+        Each running request is assumed to end at a rate of one in its
+        expected time.
         """
         rate = sum(1 / max(one.expected, 0.001) for one in self._running)
         return 1 / rate if rate else 0
 
-    def _start(self, ticket: AdmissionRequest, now: float) -> None:
-        ticket.started = now
-        self._running.add(ticket)
-        if self._pace is not None:
-            self._pace.take(now)
+    def _start(self, request: AdmissionRequest, now: float) -> None:
+        request.started = now
+        self._running.add(request)
+        if self._bucket is not None:
+            self._bucket.take(now)
 
-    def _count_ahead(self, ticket: AdmissionRequest) -> int:
+    def _count_ahead(self, request: AdmissionRequest) -> int:
         ahead = len(self._waiting)
-        while ahead and self._waiting[ahead - 1].order > ticket.order:
+        while ahead and self._waiting[ahead - 1].order > request.order:
             ahead -= 1
         return ahead
 
-    def _fits(self, ticket: AdmissionRequest, wait: float, now: float) -> bool:
-        """Whether an answer can come by the objective after some wait.
+    def _can_wait(
+        self, request: AdmissionRequest, wait: float, now: float
+    ) -> bool:
+        """Whether a request can be answered in time after some wait.
 
         A request that will miss its objective in any case is measured by its
-        caller's deadline: late answers are worth less, not nothing.
+        caller's deadline: a late answer is worth less, but not nothing.
         """
-        return fits_behind(
+        return is_worth_waiting(
             wait,
-            ticket.expected,
-            left=None if ticket.is_late else ticket.objective - now,
-            patience=ticket.deadline - now,
+            request.expected,
+            time_to_objective=(
+                None if request.is_late else request.objective - now
+            ),
+            time_to_deadline=request.deadline - now,
         )
 
-    def _is_hopeless(self, ticket: AdmissionRequest, now: float) -> bool:
-        return now + ticket.expected / 2 > ticket.deadline
+    def _is_hopeless(self, request: AdmissionRequest, now: float) -> bool:
+        return now + request.expected / 2 > request.deadline
+
+    def _shed_delayed(self, first: int, now: float) -> None:
+        """Refuse requests that more urgent ones have delayed too long.
 
-    def _shed_overtaken(self, first: int, now: float) -> None:
-        """Refuse those that more urgent requests have pushed back too far.
+        Kept in the queue, they would be refused only when it is too late to
+        try another upstream.
 
-        Held on, they would be refused only when it is too late to go to
-        another upstream.
+        :param first: position in the queue from which on requests are checked.
         """
         wait = self.expected_wait(first, now)
         kept = self._waiting[:first]
-        for ticket in self._waiting[first:]:
-            if self._fits(ticket, wait, now):
-                kept.append(ticket)
-                wait += ticket.expected / max(self.slots, 1)
-                wait = max(wait, self._paced_wait(len(kept), now))
+        for request in self._waiting[first:]:
+            if self._can_wait(request, wait, now):
+                kept.append(request)
+                wait += request.expected / max(self.slots, 1)
+                wait = max(wait, self._limit_wait(len(kept), now))
             else:
-                ticket.on_settled(AdmissionResult.SHED)
+                request.on_settled(AdmissionResult.SHED)
         self._waiting = kept
--- a/libs/policy/src/verbenamill_policy/budget.py
+++ b/libs/policy/src/verbenamill_policy/budget.py
@@ -1,40 +1,42 @@
-"""How many requests may be sent to a second upstream."""
-
-#: Share of requests that a daemon may send to a second upstream. Operators
-#: allow a fifth for the fleet by default; what is kept back covers calls of
-#: repeated runs, which count at the services that they call.
-RATIO = 0.15
-#: Repeats that a daemon saves up while nothing fails.
-BURST = 4.0
-#: What a repeat costs after an upstream has run the request, in repeats of
-#: one that was refused unrun: its run may have made calls, and a second run
-#: makes them again. So reruns stay within a tenth of the requests.
+"""Budget of requests that may be sent to a second upstream."""
+
+#: Share of requests that a daemon may send to a second upstream. By default
+#: operators allow a fifth for the fleet. The rest is reserved for the nested
+#: calls of repeated runs, which count at the services that they call.
+RETRY_RATIO = 0.15
+#: Maximum number of retries that a daemon accumulates while nothing fails.
+MAX_TOKENS = 4.0
+#: Cost of a retry after an upstream may have run the request, relative to one
+#: after a refusal. The first run may have made nested calls, which a second
+#: run makes again. With this cost, reruns stay within a tenth of the requests.
 RERUN_COST = 1.5
 
 
 class RetryBudget:
-    """Token bucket of one service at one daemon.
+    """Token bucket for the retries of one service at one daemon.
 
-    Each daemon earns by its own requests, so all daemons together stay
-    within the ratio without telling each other.
+    Each daemon earns tokens with its own requests, so all daemons together
+    stay within the ratio without coordination.
     """
 
-    def __init__(self, *, ratio: float = RATIO, burst: float = BURST) -> None:
+    def __init__(
+        self, *, ratio: float = RETRY_RATIO, burst: float = MAX_TOKENS
+    ) -> None:
         self._ratio = ratio
         self._burst = burst
         self._tokens = burst
 
     @property
     def tokens(self) -> float:
-        """Repeats that may be made now."""
+        """Number of retries that are currently available."""
         return self._tokens
 
     def earn(self) -> None:
-        """Count a request."""
+        """Add the share of a retry that a new request earns."""
         self._tokens = min(self._tokens + self._ratio, self._burst)
 
     def take(self, *, has_run: bool) -> bool:
-        """Spend a repeat, if there is one.
+        """Spend a retry, and return whether one was available.
 
         :param has_run: whether an upstream may have run the request.
         """
--- a/libs/policy/src/verbenamill_policy/fingerprints.py
+++ b/libs/policy/src/verbenamill_policy/fingerprints.py
@@ -1,14 +1,14 @@
-"""Names a request by its content, so that it is known when it comes again."""
+"""Fingerprints that recognise a request by its content when it is repeated."""
 
 from hashlib import blake2b
 from typing import NewType
 
-#: Digest of a request's content, in bytes.
+#: Digest of a request's content.
 Fingerprint = NewType('Fingerprint', bytes)
 
-#: Length of a fingerprint in bytes. Nobody finds a second request with the
-#: fingerprint of a given one, so nobody can have another's request refused.
-SIZE = 16
+#: Length of a fingerprint in bytes. It makes a second preimage infeasible, so
+#: that nobody can have the request of somebody else refused.
+FINGERPRINT_BYTES = 16
 
 
 def compute_fingerprint(
@@ -19,13 +19,13 @@
     caller: bytes,
     body: bytes,
 ) -> Fingerprint:
-    """Fingerprint of a request; the same at every daemon.
+    """Compute the fingerprint of a request, which is the same at every daemon.
 
-    :param caller: service of the VM where the request began.
+    :param caller: service of the VM from which the request was sent.
     """
-    digest = blake2b(digest_size=SIZE)
+    digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (method, host.lower(), target, caller, body):
-        # With the lengths, the end of one part is never the begin of the next.
+        # The length prefix makes the boundaries of the parts unambiguous.
         digest.update(b'%d:' % len(part))
         digest.update(part)
     return Fingerprint(digest.digest())
--- a/libs/policy/src/verbenamill_policy/heartbeats.py
+++ b/libs/policy/src/verbenamill_policy/heartbeats.py
@@ -1,4 +1,4 @@
-"""Which heartbeats of the own upstream are believed."""
+"""Ordering and validation of the heartbeats of the local upstream."""
 
 from enum import Enum, unique
 
@@ -13,16 +13,19 @@
 from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.members import LEAVE_SEQUENCE, UpstreamRecord
 
-#: Instances whose leaving is remembered; a VM has one upstream at a time.
+#: Maximum number of instances whose shutdown is remembered. A VM has only one
+#: upstream at a time.
 MAX_REMEMBERED = 32
 
 
 class Heartbeat(Struct, frozen=True, kw_only=True):
-    """What an upstream says of itself.
+    """A heartbeat of an upstream.
 
-    :param born: its start, Unix time in milliseconds; 0 if it says nothing.
-    :param sequence: grows with each heartbeat of one start.
-    :param cold: how much longer it is slow after its start, in seconds.
+    :param born: start of the upstream, as Unix time in milliseconds; 0 if not
+        stated.
+    :param sequence: increases with each heartbeat of one start.
+    :param cold: remaining time for which it is slow after its start, in
+        seconds.
     """
 
     instance: str
@@ -38,7 +41,7 @@
 
 @unique
 class HeartbeatResult(Enum):
-    """What became of a heartbeat."""
+    """Result of processing a heartbeat."""
 
     CHANGED = 'news'
     UNCHANGED = 'known'
@@ -47,14 +50,14 @@
 
 
 class UpstreamTracker:
-    """The upstream beside this daemon, from its heartbeats.
+    """State of the local upstream, from its heartbeats.
 
-    A heartbeat may be late by seconds. One of an upstream that crashed must
-    not bring it back in place of its successor, and one from before a drain
-    must not undo the drain: callers would be sent to an upstream that
-    refuses or ends. Start time and number order all of them.
+    A heartbeat may be delayed by seconds. A heartbeat of a crashed upstream
+    must not replace its successor, and one from before a drain must not undo
+    the drain: callers would be sent to an upstream that refuses requests or
+    terminates. Heartbeats are therefore ordered by start time and number.
 
-    :param address: where the own upstream listens.
+    :param address: address on which the local upstream listens.
     """
 
     def __init__(self, address: str) -> None:
@@ -64,18 +67,18 @@
 
     @property
     def current(self) -> UpstreamRecord | None:
-        """The upstream as last told, also when it drains or is gone."""
+        """The last known upstream, even if it drains or has terminated."""
         return self._current
 
     def update(self, beat: Heartbeat) -> HeartbeatResult:
-        """Take in a heartbeat."""
+        """Process a heartbeat."""
         if beat.address != self._address:
             return HeartbeatResult.OTHER_ADDRESS
         order = (beat.born, beat.sequence)
         if self._left.get(beat.instance, (-1, -1)) >= order:
             return HeartbeatResult.STALE
         current = self._current
-        if current is not None and not _follows(current, beat):
+        if current is not None and not _is_newer_heartbeat(current, beat):
             return HeartbeatResult.STALE
         record = UpstreamRecord(
             instance=beat.instance,
@@ -85,38 +88,39 @@
             version=beat.version,
             state=beat.state,
             slots=beat.slots,
-            limit=_keep_limit(current, beat),
+            limit=_inherited_limit(current, beat),
         )
         self._current = record
-        if current is not None and _same_facts(current, record):
+        if current is not None and _differs_only_in_number(current, record):
             return HeartbeatResult.UNCHANGED
         return HeartbeatResult.CHANGED
 
     def leave(self, instance: str, born: int, *, now: int) -> bool:
-        """An upstream said that it ends; tells whether it was the current.
+        """Process a shutdown notice; returns whether it is the current one.
 
-        :param born: start of the upstream that says so; 0 if not told.
+        :param born: start of the upstream that sent it; 0 if not stated.
         :param now: Unix time in milliseconds.
         """
         current = self._current
         if current is None or current.instance != instance:
-            # A daemon that was just started knows no upstream yet. Its word
-            # binds it all the same, and a late heartbeat must not undo it.
-            # Without a start every start until now has ended: a heartbeat
-            # that is late tells an earlier one, a successor a later one.
-            self._remember(instance, born or now)
+            # A daemon that has just started knows no upstream yet. The notice
+            # still applies, and a delayed heartbeat must not undo it. A notice
+            # without a start time ends every start until now: a delayed
+            # heartbeat states an earlier start, a successor a later one.
+            self._remember_leave(instance, born or now)
             return False
         if born and born < current.born:
             return False
-        # Heartbeats from before the leave may still come; all of this start
-        # are void, whatever their number.
+        # Heartbeats from before the notice may still arrive. All heartbeats of
+        # this start are ignored from now on, whatever their number.
         self._end(UpstreamState.GONE)
         return True
 
     def leave_in_band(self, instance: str, born: int) -> bool:
-        """An answer says that the upstream leaves; tells whether it is news.
+        """Process a shutdown notice in an answer; returns whether it is new.
 
-        It ends what it runs. Its heartbeats may go on saying that it is ready.
+        The upstream completes its running requests. Its heartbeats may still
+        state that it is ready.
         """
         current = self._current
         if current is None or (current.instance, current.born) != (
@@ -130,41 +134,43 @@
         return True
 
     def has_left(self, upstream: UpstreamRecord) -> bool:
-        """Whether a start of an upstream said that it ends."""
+        """Whether a start of an upstream has announced its shutdown."""
         known = self._left.get(upstream.instance, (-1, -1))
         return known >= (upstream.born, upstream.heartbeat)
 
     def mark_gone(self, instance: str) -> None:
-        """Nobody of this name listens any more, until a heartbeat comes."""
+        """Mark an instance as not listening, until its next heartbeat."""
         if self._current is not None and self._current.instance == instance:
             self._set_state(UpstreamState.GONE)
 
     def set_limit(self, limit: RateLimit | None) -> None:
-        """The current upstream names a limit, or none any more."""
+        """Set or clear the rate limit of the current upstream."""
         if self._current is not None:
             self._current = replace(self._current, limit=limit)
 
     def restore(self, record: UpstreamRecord) -> bool:
-        """Heed what other daemons remember; tells whether it was news.
+        """Apply a record kept by other daemons; returns whether it is new.
 
-        A daemon that was killed right after it acknowledged a drain forgot
-        it. A late heartbeat from before would then bring the upstream back.
+        A daemon that was killed right after it acknowledged a drain has lost
+        that state. Without the record, a delayed heartbeat from before the
+        drain would make the upstream ready again.
         """
         if record.state is UpstreamState.READY:
-            return self._resume(record)
+            return self._restore_ready(record)
         known = self._left.get(record.instance, (-1, -1))
         order = (record.born, record.heartbeat)
         if order > known:
             self._left[record.instance] = order
-            self._trim()
+            self._evict_oldest()
         current = self._current
         if current is None and record.has_left:
-            # Told on, it also binds the starts of this daemon to come.
+            # The record is announced again, so that it also applies after
+            # further restarts of this daemon.
             self._current = record
             return True
         if current is None:
             return False
-        if current.instance != record.instance or not _is_later(
+        if current.instance != record.instance or not _is_newer_record(
             record,
             current,
         ):
@@ -176,11 +182,11 @@
         )
         return True
 
-    def _resume(self, record: UpstreamRecord) -> bool:
-        """Use the upstream of the process before until it tells more.
+    def _restore_ready(self, record: UpstreamRecord) -> bool:
+        """Use the upstream of the previous process until its next heartbeat.
 
-        Requests name the instance that they are for, so another upstream
-        that listens there by now refuses them.
+        Requests state the instance that they are for, so a different upstream
+        that has started at the address refuses them.
         """
         if self._current is not None or record.instance in self._left:
             return False
@@ -188,21 +194,21 @@
         return True
 
     def _end(self, state: UpstreamState) -> None:
-        """The current upstream has said that it ends."""
+        """Record that the current upstream has announced its shutdown."""
         current = self._current
         assert current is not None
-        self._remember(current.instance, current.born)
+        self._remember_leave(current.instance, current.born)
         self._current = replace(
             current,
             state=state,
             heartbeat=LEAVE_SEQUENCE,
         )
 
-    def _remember(self, instance: str, born: int) -> None:
+    def _remember_leave(self, instance: str, born: int) -> None:
         self._left[instance] = (born, LEAVE_SEQUENCE)
-        self._trim()
+        self._evict_oldest()
 
-    def _trim(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self._left) > MAX_REMEMBERED:
             self._left.pop(next(iter(self._left)))
 
@@ -212,7 +218,7 @@
         self._current = replace(current, state=state)
 
 
-def _follows(current: UpstreamRecord, beat: Heartbeat) -> bool:
+def _is_newer_heartbeat(current: UpstreamRecord, beat: Heartbeat) -> bool:
     if beat.born != current.born:
         return beat.born > current.born
     return beat.instance == current.instance and (
@@ -220,8 +226,8 @@
     )
 
 
-def _is_later(record: UpstreamRecord, current: UpstreamRecord) -> bool:
-    """Whether what others remember says more than what is known."""
+def _is_newer_record(record: UpstreamRecord, current: UpstreamRecord) -> bool:
+    """Whether a record kept by other daemons is newer than the current one."""
     if record.state is current.state or current.state is UpstreamState.GONE:
         return False
     return (record.born, record.heartbeat) >= (
@@ -230,16 +236,16 @@
     )
 
 
-def _keep_limit(
+def _inherited_limit(
     current: UpstreamRecord | None,
     beat: Heartbeat,
 ) -> RateLimit | None:
-    """The limit that the same start of an upstream has named."""
+    """The rate limit that the same start of an upstream has announced."""
     if current is None:
         return None
     is_same = (current.instance, current.born) == (beat.instance, beat.born)
     return current.limit if is_same else None
 
 
-def _same_facts(one: UpstreamRecord, other: UpstreamRecord) -> bool:
+def _differs_only_in_number(one: UpstreamRecord, other: UpstreamRecord) -> bool:
     return replace(one, heartbeat=other.heartbeat) == other
--- a/libs/policy/src/verbenamill_policy/limits.py
+++ b/libs/policy/src/verbenamill_policy/limits.py
@@ -1,40 +1,41 @@
-"""The rate of requests that an upstream takes, as it names it itself."""
+"""The rate limit that an upstream announces with its answers."""
 
 import re
 from collections.abc import Iterable
 
 from msgspec import Struct
 
-#: Longest number that is read. Longer ones are no rate of requests.
-_MAX_LENGTH = 20
+#: Maximum length of a number. Longer ones are not valid request rates.
+_MAX_NUMBER_LENGTH = 20
 _DECIMAL = re.compile(rb'(?:\d+(?:\.\d*)?|\.\d+)\Z')
-#: Part by which a limit has to change until others are told of it.
-_MATERIAL = 0.2
-#: Least time between two times that others are told, in seconds.
-_TELL_PERIOD = 1.0
+#: Relative change of a limit from which on it is announced to other daemons.
+_MIN_RELATIVE_CHANGE = 0.2
+#: Minimum time between two announcements, in seconds.
+_ANNOUNCE_PERIOD = 1.0
 
 
 def read_rate(values: Iterable[bytes]) -> float | None:
-    """The limit that the headers of one answer name, in requests a second.
+    """Parse the limit in the headers of one answer, in requests a second.
 
-    Of several the smallest holds. What is no decimal number names none.
+    The smallest of several values applies. Values that are not decimal numbers
+    are ignored.
 
-    :param values: of all headers of that name.
+    :param values: values of all headers of that name.
     """
     rates = [
         float(value)
         for value in values
-        if len(value) <= _MAX_LENGTH and _DECIMAL.match(value)
+        if len(value) <= _MAX_NUMBER_LENGTH and _DECIMAL.match(value)
     ]
     return min(rates, default=None)
 
 
 class RateLimit(Struct, frozen=True, array_like=True):
-    """A limit as daemons tell it to each other.
+    """A rate limit as daemons announce it to each other.
 
-    :param rate: in requests a second.
-    :param since: when this start of the upstream first named one, Unix time in
-        milliseconds.
+    :param rate: limit in requests a second.
+    :param since: when this start of the upstream first announced a limit, as
+        Unix time in milliseconds.
     """
 
     rate: float
@@ -42,63 +43,63 @@
 
 
 class RateLimitTracker:
-    """What the answers of one start of an upstream say of its limit.
+    """The rate limit of one start of an upstream, from its answers.
 
-    :ivar rate: in requests a second; ``None`` if it names no limit.
-    :ivar told: the same as others were told last.
+    :ivar rate: limit in requests a second; ``None`` without a limit.
+    :ivar announced: the limit last announced to other daemons.
     """
 
     def __init__(self) -> None:
         self.rate: float | None = None
         self.announced: float | None = None
-        self._named_at = float('-inf')
-        self._told_at = float('-inf')
-        self._has_heard = False
+        self._limited_at = float('-inf')
+        self._announced_at = float('-inf')
+        self._has_answer = False
 
     @property
     def is_known(self) -> bool:
-        """Whether there is an answer or a memory to go by."""
-        return self._has_heard or self.rate is not None
+        """Whether an answer was seen or a limit was restored."""
+        return self._has_answer or self.rate is not None
 
     def record_limit(self, rate: float, now: float) -> None:
-        """An answer names a limit."""
-        self._has_heard = True
+        """Record an answer that announces a limit."""
+        self._has_answer = True
         self.rate = rate
-        self._named_at = now
+        self._limited_at = now
 
     def record_no_limit(self, *, asked_at: float) -> bool:
-        """An answer names none; tells whether that ends a limit.
+        """Record an answer without a limit, and return whether it ends one.
 
-        Answers overtake each other. Only one that was asked for after the
-        limit was last named is certain to be newer.
+        Answers may overtake each other. Only an answer whose request was sent
+        after the limit was last announced is certain to be newer.
 
-        :param asked_at: when its request was sent.
+        :param asked_at: time at which its request was sent.
         """
-        self._has_heard = True
-        if self.rate is None or asked_at <= self._named_at:
+        self._has_answer = True
+        if self.rate is None or asked_at <= self._limited_at:
             return False
         self.rate = None
         return True
 
     def restore(self, rate: float) -> bool:
-        """Heed what others remember, until the first answer says more."""
-        if self._has_heard or self.rate is not None:
+        """Apply a limit known to other daemons until the first answer."""
+        if self._has_answer or self.rate is not None:
             return False
         self.rate = rate
         return True
 
     def take_update(self, now: float) -> bool:
-        """Whether others are to be told of a change now."""
-        if now - self._told_at < _TELL_PERIOD:
+        """Whether a change is due for announcement; it then counts as sent."""
+        if now - self._announced_at < _ANNOUNCE_PERIOD:
             return False
-        if not _is_material(self.announced, self.rate):
+        if not _is_significant(self.announced, self.rate):
             return False
         self.announced = self.rate
-        self._told_at = now
+        self._announced_at = now
         return True
 
 
-def _is_material(announced: float | None, rate: float | None) -> bool:
+def _is_significant(announced: float | None, rate: float | None) -> bool:
     if announced is None or rate is None:
         return announced is not rate
-    return abs(rate - announced) > _MATERIAL * announced
+    return abs(rate - announced) > _MIN_RELATIVE_CHANGE * announced
--- a/libs/policy/src/verbenamill_policy/members.py
+++ b/libs/policy/src/verbenamill_policy/members.py
@@ -1,4 +1,4 @@
-"""Who takes part: one record for each daemon, the newest one wins."""
+"""Cluster membership: one record for each daemon, of which the newest wins."""
 
 from collections.abc import Collection, Iterator
 from zlib import crc32
@@ -15,22 +15,24 @@
 )
 from verbenamill_policy.limits import RateLimit
 
-#: Parts of a zone's records that two daemons compare: a zone of a thousand
-#: daemons has some thirty in each, whose ages fit into one datagram.
+#: Number of buckets of a zone's records whose digests two daemons compare. A
+#: zone of a thousand daemons has about thirty in each bucket, whose revisions
+#: fit into one datagram.
 BUCKETS = 32
-#: Number that comes after each heartbeat of one start of an upstream: it said
-#: that it ends, so what a heartbeat says of it counts no more.
+#: Heartbeat number of an upstream that announced its shutdown. It is higher
+#: than that of any heartbeat of the same start, so that later heartbeats no
+#: longer count.
 LEAVE_SEQUENCE = 1 << 62
 
 
 class UpstreamRecord(Struct, frozen=True, array_like=True):
-    """The upstream beside a daemon, as the daemon tells the others.
+    """The upstream of a daemon as announced to the other daemons.
 
-    :param instance: differs for each start of an upstream, mostly.
-    :param born: start of the upstream, Unix time in milliseconds.
-    :param heartbeat: number of the heartbeat that told this.
-    :param slots: requests it works on at a time.
-    :param limit: on the rate of requests, if it names one.
+    :param instance: usually differs for each start of an upstream.
+    :param born: start of the upstream, as Unix time in milliseconds.
+    :param heartbeat: number of the heartbeat that this record is based on.
+    :param slots: number of requests that the upstream runs concurrently.
+    :param limit: limit on the rate of requests, if it announces one.
     """
 
     instance: str
@@ -44,18 +46,18 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether this start said that it ends; no heartbeat undoes that."""
+        """Whether this start announced its shutdown, which is final."""
         return self.heartbeat == LEAVE_SEQUENCE
 
 
 class MemberRecord(Struct, frozen=True, array_like=True):
-    """What a daemon tells of itself.
+    """A daemon as announced by itself.
 
     :param incarnation: differs for each start of the daemon.
-    :param sequence: grows with each change within an incarnation.
-    :param calls: ``host:port`` where it takes requests of other daemons.
+    :param sequence: increases with each change within an incarnation.
+    :param calls: ``host:port`` for requests of other daemons.
     :param gossip: ``host:port`` for datagrams.
-    :param leaving: takes no further work.
+    :param leaving: whether the daemon accepts no further requests.
     """
 
     vm: VmId
@@ -69,12 +71,12 @@
 
     @property
     def revision(self) -> tuple[int, int]:
-        """Order of two records of one daemon."""
+        """Sort key of the records of one daemon; the newest is the highest."""
         return self.incarnation, self.sequence
 
 
 class MemberTable:
-    """All daemons known, by availability zone, and digests to compare by."""
+    """All known daemons by availability zone, with digests for comparison."""
 
     def __init__(self) -> None:
         self._records: dict[VmId, MemberRecord] = {}
@@ -90,25 +92,25 @@
 
     @property
     def digests(self) -> dict[AvailabilityZone, int]:
-        """One number for each zone; equal tables have equal ones."""
+        """Digest of each zone; equal tables have equal digests."""
         return {name: zone.digest for name, zone in self._zones.items()}
 
     @property
     def zones(self) -> Collection[AvailabilityZone]:
-        """Zones that daemons are known in."""
+        """Zones with known daemons."""
         return self._zones.keys()
 
     def get(self, vm: VmId) -> MemberRecord | None:
-        """The newest record of a daemon."""
+        """Return the newest record of a daemon."""
         return self._records.get(vm)
 
     def in_zone(self, zone: AvailabilityZone) -> list[MemberRecord]:
-        """Records of a zone's daemons."""
+        """Records of the daemons in a zone."""
         found = self._zones.get(zone)
         return [] if found is None else list(found.records.values())
 
     def bucket_digests(self, zone: AvailabilityZone) -> list[int]:
-        """One number for each part of a zone."""
+        """Digest of each bucket of a zone."""
         found = self._zones.get(zone)
         return _empty_buckets() if found is None else list(found.buckets)
 
@@ -117,7 +119,7 @@
         zone: AvailabilityZone,
         buckets: Collection[int],
     ) -> list[MemberRecord]:
-        """Records in some parts of a zone."""
+        """Records in some buckets of a zone."""
         return [
             record
             for record in self.in_zone(zone)
@@ -125,11 +127,11 @@
         ]
 
     def merge(self, record: MemberRecord) -> bool:
-        """Take in a record; tells whether it was news."""
+        """Merge a record, and return whether it changed the table."""
         known = self._records.get(record.vm)
         if known is not None and known.revision >= record.revision:
             return False
-        if not self._displaces(record):
+        if not self._claim_address(record):
             return False
         if known is not None:
             self._remove(known)
@@ -138,18 +140,19 @@
         return True
 
     def drop(self, vm: VmId) -> None:
-        """Forget a daemon."""
+        """Remove a daemon."""
         known = self._records.get(vm)
         if known is not None:
             self._remove(known)
             self.version += 1
 
-    def _displaces(self, record: MemberRecord) -> bool:
-        """Whether an address is this daemon's now.
+    def _claim_address(self, record: MemberRecord) -> bool:
+        """Assign the address of a record, and return whether it is valid.
 
-        The address of a VM that is gone is given to another one. Of two
-        that claim it, the one that started later is there; the other would
-        get requests that are meant for the first.
+        The address of a terminated VM is assigned to another VM later. Of two
+        daemons with the same address, the one that started later uses it. The
+        other one is removed, since requests for it would reach the wrong
+        daemon.
         """
         vm = self._by_address.get(record.calls)
         if vm is None or vm == record.vm:
@@ -181,23 +184,24 @@
         self.records: dict[VmId, MemberRecord] = {}
         self.buckets = _empty_buckets()
         self.digest = 0
-        self._prints: dict[VmId, int] = {}
+        self._checksums: dict[VmId, int] = {}
 
     def put(self, record: MemberRecord) -> None:
-        """Add the record of a daemon that is not in it."""
+        """Add the record of a daemon that has none in the zone."""
         self.records[record.vm] = record
-        found = crc32(msgspec.msgpack.encode(record))
-        self._prints[record.vm] = found
-        self._mix(record.vm, found)
+        checksum = crc32(msgspec.msgpack.encode(record))
+        self._checksums[record.vm] = checksum
+        self._toggle(record.vm, checksum)
 
     def remove(self, vm: VmId) -> None:
-        """Take a daemon out."""
+        """Remove the record of a daemon."""
         self.records.pop(vm)
-        self._mix(vm, self._prints.pop(vm))
+        self._toggle(vm, self._checksums.pop(vm))
 
-    def _mix(self, vm: VmId, found: int) -> None:
-        self.buckets[bucket_of(vm)] ^= found
-        self.digest ^= found
+    def _toggle(self, vm: VmId, checksum: int) -> None:
+        """Add a checksum to the digests, or remove it from them."""
+        self.buckets[bucket_of(vm)] ^= checksum
+        self.digest ^= checksum
 
 
 def _empty_buckets() -> list[int]:
@@ -205,5 +209,5 @@
 
 
 def bucket_of(vm: VmId) -> int:
-    """Part of its zone that a daemon is in."""
+    """Bucket of a daemon within its zone."""
     return crc32(vm.encode()) % BUCKETS
--- a/libs/policy/src/verbenamill_policy/pacing.py
+++ b/libs/policy/src/verbenamill_policy/pacing.py
@@ -1,59 +1,64 @@
-"""A token bucket: how many requests may begin, and when the next one may."""
-
-#: Seconds of its rate that a bucket holds beyond one token. Requests come
-#: unevenly, and an upstream takes a short burst; a longer one would exceed
-#: what it can do in a few seconds.
-_BURST = 0.5
-#: Rate of a bucket whose limit is smaller, in requests a second. An upstream
-#: that takes none says so, or that it takes some again, only in an answer.
-LEAST_RATE = 0.2
-#: Part of a token that may lack; sums of short times are not exact.
+"""Token bucket that limits the rate at which requests start."""
+
+#: Capacity of a bucket beyond one token, in seconds of its rate. Requests
+#: arrive unevenly, and an upstream accepts a short burst; a longer one would
+#: exceed its capacity for some seconds.
+_BURST_SECONDS = 0.5
+#: Minimum rate of a bucket, in requests a second. An upstream that accepts no
+#: requests announces that limit and its end only in answers, so some requests
+#: have to be sent.
+MIN_RATE = 0.2
+#: Fraction of a token that may be missing, since sums of short times are not
+#: exact.
 _TOLERANCE = 1e-6
 
 
 class TokenBucket:
-    """Lets requests begin at a rate.
+    """Limits the rate at which requests start.
 
-    It starts empty: what began before it was made is not known, as after a
-    restart of the daemon.
+    The bucket starts empty, since the requests before its creation are not
+    known, as after a restart of the daemon.
 
-    :ivar rate: in requests a second.
+    :ivar rate: rate in requests a second.
     """
 
     def __init__(self, rate: float, now: float) -> None:
-        self.rate = max(rate, LEAST_RATE)
+        self.rate = max(rate, MIN_RATE)
         self._tokens = float(0)
         self._filled_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Go on with another rate, and with no more tokens than it allows."""
+        """Change the rate, and drop tokens beyond the new capacity."""
         self._fill(now)
-        self.rate = max(rate, LEAST_RATE)
+        self.rate = max(rate, MIN_RATE)
         self._tokens = min(self._tokens, self._capacity)
 
     def take(self, now: float) -> None:
-        """A request begins.
+        """Take a token for a request that starts.
 
-        One that cannot be held back, as a second send of the same request,
-        may take a token that is not there yet.
+        The balance may become negative for a request that cannot be delayed,
+        such as the second send of a request.
         """
         self._fill(now)
         self._tokens -= 1
 
     def give_back(self, now: float) -> None:
-        """A request that had begun was not sent."""
+        """Return the token of a request that was not sent."""
         self._fill(now)
         self._tokens = min(self._tokens + 1, self._capacity)
 
     def wait(self, ahead: int, now: float) -> float:
-        """Time until a request may begin behind some others, in seconds."""
+        """Time until a request may start, in seconds.
+
+        :param ahead: number of requests that start before it.
+        """
         self._fill(now)
         missing = ahead + 1 - self._tokens
         return missing / self.rate if missing > _TOLERANCE else 0
 
     @property
     def _capacity(self) -> float:
-        return 1 + _BURST * self.rate
+        return 1 + _BURST_SECONDS * self.rate
 
     def _fill(self, now: float) -> None:
         earned = max(now - self._filled_at, 0) * self.rate
--- a/libs/policy/src/verbenamill_policy/placement.py
+++ b/libs/policy/src/verbenamill_policy/placement.py
@@ -1,4 +1,4 @@
-"""Which daemon's upstream a request goes to."""
+"""Selection of the daemon whose upstream serves a request."""
 
 import math
 from collections.abc import Collection, Iterator, Sequence
@@ -8,52 +8,60 @@
 from msgspec import Struct
 
 from verbenamill_model.typing import AvailabilityZone, VmId
-from verbenamill_policy.admission import SPREAD, fits_behind
-from verbenamill_policy.service_times import FIRST_SPREAD, chance
+from verbenamill_policy.admission import SERVICE_TIME_MARGIN, is_worth_waiting
+from verbenamill_policy.service_times import (
+    INITIAL_LOG_DEVIATION,
+    probability_within,
+)
 from verbenamill_policy.throttling import Throttle
 
-#: Weight of the newest answer in what is believed of an owner.
-_WEIGHT = 0.15
-#: The same for failures. A single failure of a good upstream must not send the
-#: next seconds' requests away.
+#: Weight of the newest answer in the moving average of an owner's relative
+#: service time.
+_TIME_WEIGHT = 0.15
+#: Weight of the newest answer in the moving average of an owner's failures. A
+#: single failure of a good upstream must not divert the requests of the next
+#: seconds.
 _FAILURE_WEIGHT = 0.05
-#: Bounds of an owner's pace; beyond them a single answer would decide.
-_MIN_PACE = 0.25
-_MAX_PACE = 12.0
-#: Pace of an owner that was not tried yet: a little better than the mean, so
-#: that a new upstream gets requests at once.
-_FIRST_PACE = 0.8
-#: Time a failed answer is taken to cost, in seconds: the request has to be
-#: sent again, and its first run was for nothing.
+#: Bounds of an owner's relative service time. Without them a single extreme
+#: answer would determine the average.
+_MIN_RELATIVE_TIME = 0.25
+_MAX_RELATIVE_TIME = 12.0
+#: Relative service time assumed for an owner without answers. It is slightly
+#: below the mean, so that a new upstream gets requests at once.
+_INITIAL_RELATIVE_TIME = 0.8
+#: Cost of a failed answer, in seconds: the request has to be sent again, and
+#: the time of its first run is lost.
 _FAILURE_COST = 0.6
-#: After this long an owner's load is taken to have halved, in seconds.
-_LOAD_HALVES = 0.5
-#: After this long without an answer, half of what is believed of an owner's
-#: failures and pace is forgotten, in seconds: it may have recovered, and only
+#: Half-life of the load that an owner reported, in seconds.
+_LOAD_HALF_LIFE = 0.5
+#: Half-life of an owner's estimated failures and relative service time while
+#: no answer arrives, in seconds. The owner may have recovered, and only
 #: requests can show that.
-_BELIEF_HALVES = 2.0
-#: Owners looked at for one request; bounds its processor time.
-_MAX_LOOKS = 12
-#: Random part of an estimate. Daemons that hear the same would all choose
-#: the same owner otherwise and fill it at once.
+_ESTIMATE_HALF_LIFE = 2.0
+#: Maximum number of owners evaluated for one request; limits the processor
+#: time.
+_MAX_CANDIDATES = 12
+#: Random share added to an estimate. Without it, daemons that have the same
+#: information would all choose the same owner and overload it.
 _NOISE = 0.15
 
-#: Part of the time to the objective that the work has to fit in; the rest is
-#: for the way and for loads that were told a moment ago.
+#: Share of the time to the objective that an answer may use. The rest covers
+#: network transfer and load reports that are slightly out of date.
 _HEADROOM = 0.9
-#: Worth of an answer after its objective, beside one in time.
-_LATE_WORTH = 0.3
-#: Bytes whose way between zones costs as much as an answer is worth. No
-#: daemon can observe that price.
+#: Value of an answer after its objective, relative to one within it.
+_LATE_VALUE = 0.3
+#: Number of bytes whose transfer between zones costs as much as an answer is
+#: worth. Daemons cannot observe this price.
 _BYTES_PER_ANSWER = 26_000
-#: Headers of a request, an answer and those between daemons, in bytes.
+#: Size of the headers of a request, of its answer and of those between
+#: daemons, in bytes.
 _HEADER_BYTES = 900
-#: Most that the bytes may count: a caller is not left without an answer to
-#: save them.
-_MOST_FOR_BYTES = 0.6
-#: Worth of an answer that comes at once, beside one just in time: among
-#: owners that are all fast enough, the fastest is taken.
-_SPEED_WORTH = 0.1
+#: Upper bound of the transfer cost, in answers: saving bytes is no reason to
+#: leave a caller without an answer.
+_MAX_TRANSFER_COST = 0.6
+#: Value of an immediate answer over one that only just meets the objective.
+#: It makes the fastest owner win among those that are all fast enough.
+_SPEED_VALUE = 0.1
 
 #: Shortest and longest time in which no request goes to an owner that could
 #: not be reached, in seconds.
@@ -61,32 +69,32 @@
 MAX_BACKOFF = 4.0
 
 
-class _Pause(NamedTuple):
-    """Time until a limit has room, as told, and when that is."""
+class _LimitWait(NamedTuple):
+    """Reported wait for a rate limit, in seconds, and when it ends."""
 
-    told: float
+    duration: float
     until: float
 
 
 class OwnerEstimate:
-    """What an ingress believes of one daemon and its upstream.
+    """An ingress's estimate of one daemon and its upstream.
 
-    :ivar pace: service time in relation to the mean of its service.
-    :ivar load: requests running and queued there.
+    :ivar relative_time: service time relative to the mean of its service.
+    :ivar load: number of requests running and queued there.
     """
 
     __slots__ = (
         'vm',
         'availability_zone',
         'slots',
-        'pace',
+        'relative_time',
         'load',
-        'told_at',
-        'failing',
+        'load_reported_at',
+        'failure_rate',
         'down_until',
-        'pause',
-        'samples',
-        '_pauses',
+        'backoff',
+        'time_samples',
+        '_limit_waits',
         '_throttles',
     )
 
@@ -100,235 +108,264 @@
         self.vm = vm
         self.availability_zone = availability_zone
         self.slots = max(slots, 1)
-        self.pace = _FIRST_PACE
+        self.relative_time = _INITIAL_RELATIVE_TIME
         self.load = float(0)
-        self.told_at = float(0)
-        self.failing = float(0)
+        self.load_reported_at = float(0)
+        self.failure_rate = float(0)
         self.down_until = float(0)
-        self.pause = INITIAL_BACKOFF
-        self.samples = 0
-        self._pauses: dict[int, _Pause] = {}
+        self.backoff = INITIAL_BACKOFF
+        self.time_samples = 0
+        self._limit_waits: dict[int, _LimitWait] = {}
         self._throttles: dict[int, Throttle] = {}
 
     def sent(self) -> None:
-        """Count a request that goes there now."""
+        """Count a request that is being sent to this owner."""
         self.load += 1
 
     def record_load(self, load: int, now: float) -> None:
-        """Take in the load that came with a reply."""
+        """Record the load that the owner reported with a reply."""
         self.load = float(load)
-        self.told_at = now
-        self.pause = INITIAL_BACKOFF
+        self.load_reported_at = now
+        self.backoff = INITIAL_BACKOFF
         self.down_until = 0
 
-    def record_service_time(self, took: float, usual: float) -> None:
-        """Take in its mean time of a route, beside that of all owners.
+    def record_service_time(self, took: float, fleet_mean: float) -> None:
+        """Record the owner's mean time of a route.
 
-        It is the owner's own mean, of the requests of all daemons. Single
-        times, of which each daemon sees few, made a good upstream look a
-        third slower for a second, and its requests left the zone.
+        The owner reports its own mean over the requests of all daemons. With
+        the times of single requests, of which each daemon sees few, a good
+        upstream appeared a third slower for a second, and its requests left
+        the zone.
+
+        :param took: the owner's mean, in seconds.
+        :param fleet_mean: mean of the route over all owners, in seconds.
         """
-        pace = min(max(took / max(usual, 0.001), _MIN_PACE), _MAX_PACE)
-        weight = max(_WEIGHT, 1 / (self.samples + 2))
-        self.samples += 1
-        self.pace += weight * (pace - self.pace)
+        relative_time = min(
+            max(took / max(fleet_mean, 0.001), _MIN_RELATIVE_TIME),
+            _MAX_RELATIVE_TIME,
+        )
+        weight = max(_TIME_WEIGHT, 1 / (self.time_samples + 2))
+        self.time_samples += 1
+        self.relative_time += weight * (relative_time - self.relative_time)
 
     @property
     def is_limited(self) -> bool:
-        """Whether its upstream names a limit."""
-        return bool(self._pauses)
+        """Whether its upstream announces a rate limit."""
+        return bool(self._limit_waits)
 
     def record_limit_result(
         self,
         priority: int,
-        pause: float,
+        wait: float,
         now: float,
         *,
         taken: bool,
     ) -> None:
-        """Take in what its limit did to a request.
+        """Record how the owner's rate limit treated a request.
 
-        :param pause: until there is room for another one of this priority, in
-            seconds.
-        :param taken: whether it got the request.
+        :param wait: time until the limit allows another request of this
+            priority, in seconds.
+        :param taken: whether the upstream accepted the request.
         """
         throttle = self._throttles.setdefault(priority, Throttle())
-        throttle.tell(now, taken=taken)
-        self._pauses[priority] = _Pause(pause, now + pause)
+        throttle.record(now, taken=taken)
+        self._limit_waits[priority] = _LimitWait(wait, now + wait)
 
     def clear_limit(self) -> None:
-        """Its upstream names no limit any more."""
+        """Record that the upstream no longer announces a rate limit."""
         self._throttles.clear()
-        self._pauses.clear()
+        self._limit_waits.clear()
 
     def limit_ready_at(self, priority: int) -> float:
-        """When its limit has room for a request, as far as it was told.
+        """Time at which the rate limit is expected to allow a request.
 
-        What is more urgent has room no later.
+        Requests of a more urgent priority are never allowed later.
         """
         known = [
-            pause.until
-            for told, pause in self._pauses.items()
-            if told <= priority
+            wait.until
+            for reported, wait in self._limit_waits.items()
+            if reported <= priority
         ]
         return max(known, default=float('-inf'))
 
-    def usual_pause(self, priority: int) -> float:
-        """How long requests of a priority wait for its limit, in seconds."""
+    def reported_limit_wait(self, priority: int) -> float:
+        """Reported wait of a priority for the rate limit, in seconds."""
         known = [
-            pause.told
-            for told, pause in self._pauses.items()
-            if told <= priority
+            wait.duration
+            for reported, wait in self._limit_waits.items()
+            if reported <= priority
         ]
         return max(known, default=0)
 
-    def holds_back(self, priority: int, now: float, random: Random) -> bool:
-        """Whether a request is not sent, since such ones were refused."""
+    def should_throttle(
+        self, priority: int, now: float, random: Random
+    ) -> bool:
+        """Whether to withhold a request because similar ones were refused."""
         throttle = self._throttles.get(priority)
-        return throttle is not None and throttle.holds_back(now, random)
+        return throttle is not None and throttle.should_throttle(now, random)
 
     def record_outcome(self, *, failed: bool) -> None:
-        """Take in whether an answer was a failure."""
-        self.failing += _FAILURE_WEIGHT * (float(failed) - self.failing)
+        """Record whether an answer was a failure."""
+        self.failure_rate += _FAILURE_WEIGHT * (
+            float(failed) - self.failure_rate
+        )
 
     def mark_down(self, now: float, *, pause: float = 0) -> None:
-        """It could not be reached: leave it alone for a while.
+        """Record that the owner is unreachable, and send it nothing for a time.
 
-        :param pause: for how long, in seconds; 0 for longer each time.
+        :param pause: duration in seconds; 0 uses the exponential backoff.
         """
-        self.down_until = now + (pause or self.pause)
-        self.pause = min(self.pause * 2, MAX_BACKOFF)
+        self.down_until = now + (pause or self.backoff)
+        self.backoff = min(self.backoff * 2, MAX_BACKOFF)
 
-    def expect_load(self, now: float) -> float:
-        """Load by now: what was told long ago has gone meanwhile."""
-        age = now - self.told_at
-        if age <= _LOAD_HALVES:
+    def estimate_load(self, now: float) -> float:
+        """Estimate the current load, which decays after the last report."""
+        age = now - self.load_reported_at
+        if age <= _LOAD_HALF_LIFE:
             return self.load
-        return self.load * _halved(age, _LOAD_HALVES)
+        return self.load * _decay(age, _LOAD_HALF_LIFE)
 
 
 class PlacementRequest(Struct, kw_only=True):
-    """A request that looks for an owner.
+    """A request for which an owner is chosen.
 
     :param mean_time: mean service time of its route, in seconds.
     :param log_deviation: standard deviation of the logarithm of these times.
-    :param time_to_objective: time to its latency objective, in seconds.
+    :param time_to_objective: time left to its latency objective, in seconds.
     :param time_to_deadline: time until its caller gives up, in seconds.
-    :param byte_count: bytes of its body and of the answer that is expected.
-    :param priority: of its route; 0 is served first.
+    :param byte_count: size of its body and of the expected answer, in bytes.
+    :param priority: priority of its route; 0 is served first.
     """
 
     mean_time: float
     time_to_objective: float
-    log_deviation: float = FIRST_SPREAD
+    log_deviation: float = INITIAL_LOG_DEVIATION
     time_to_deadline: float = 0
     byte_count: float = 0
     priority: int = 0
 
     @property
     def cross_zone_cost(self) -> float:
-        """What the way to another zone costs, in answers."""
-        told = (self.byte_count + _HEADER_BYTES) / _BYTES_PER_ANSWER
-        return min(told, _MOST_FOR_BYTES)
+        """Cost of the transfer to another zone, in answers."""
+        cost = (self.byte_count + _HEADER_BYTES) / _BYTES_PER_ANSWER
+        return min(cost, _MAX_TRANSFER_COST)
 
 
 class Forecast(Struct):
-    """What is expected of an owner.
+    """Expected result of sending a request to an owner.
 
-    :param wait: until a slot is free, in seconds.
-    :param service: mean time at the upstream, in seconds.
-    :param failing: probability that the answer is a failure.
+    :param wait: time until a slot is free, in seconds.
+    :param service_time: mean time at the upstream, in seconds.
+    :param failure_probability: probability that the answer is a failure.
     """
 
     wait: float
-    service: float
-    failing: float
+    service_time: float
+    failure_probability: float
 
     @property
     def time(self) -> float:
         """Expected time until an answer, in seconds."""
-        return self.wait + self.service + self.failing * _FAILURE_COST
+        return (
+            self.wait
+            + self.service_time
+            + self.failure_probability * _FAILURE_COST
+        )
 
 
-def _halved(age: float, half_life: float) -> float:
+def _decay(age: float, half_life: float) -> float:
     return math.pow(2, -age / half_life)
 
 
 def forecast(
-    owner: OwnerEstimate, wish: PlacementRequest, now: float
+    owner: OwnerEstimate, request: PlacementRequest, now: float
 ) -> Forecast:
-    """What a request can expect of an owner."""
-    load = owner.expect_load(now)
+    """Forecast the wait, service time and failures of a request at an owner."""
+    load = owner.estimate_load(now)
     slots = owner.slots
-    trust = _halved(max(now - owner.told_at, 0), _BELIEF_HALVES)
-    service = wish.mean_time * (1 + (owner.pace - 1) * trust)
-    queued = max(load + 1 - slots, 0) * service / slots
+    confidence = _decay(
+        max(now - owner.load_reported_at, 0), _ESTIMATE_HALF_LIFE
+    )
+    service_time = request.mean_time * (
+        1 + (owner.relative_time - 1) * confidence
+    )
+    queue_wait = max(load + 1 - slots, 0) * service_time / slots
     return Forecast(
-        wait=max(queued, owner.limit_ready_at(wish.priority) - now),
-        service=service,
-        failing=owner.failing * trust,
+        wait=max(queue_wait, owner.limit_ready_at(request.priority) - now),
+        service_time=service_time,
+        failure_probability=owner.failure_rate * confidence,
     )
 
 
-def expect_worth(expected: Forecast, wish: PlacementRequest) -> float:
-    """Expected worth of an answer, where one in time is worth 1."""
-    left = wish.time_to_objective * _HEADROOM
-    in_time = chance(expected.service, wish.log_deviation, left - expected.wait)
-    at_all = chance(
-        expected.service,
-        wish.log_deviation,
-        max(wish.time_to_deadline, wish.time_to_objective) - expected.wait,
+def expected_value(expected: Forecast, request: PlacementRequest) -> float:
+    """Expected value of an answer; one within its objective counts 1."""
+    usable_time = request.time_to_objective * _HEADROOM
+    in_time = probability_within(
+        expected.service_time,
+        request.log_deviation,
+        usable_time - expected.wait,
     )
-    worth = in_time + _LATE_WORTH * max(at_all - in_time, 0)
-    speed = _SPEED_WORTH * expected.time / max(wish.time_to_objective, 0.001)
-    return worth * (1 - expected.failing) - speed
+    at_all = probability_within(
+        expected.service_time,
+        request.log_deviation,
+        max(request.time_to_deadline, request.time_to_objective)
+        - expected.wait,
+    )
+    value = in_time + _LATE_VALUE * max(at_all - in_time, 0)
+    delay_cost = (
+        _SPEED_VALUE * expected.time / max(request.time_to_objective, 0.001)
+    )
+    return value * (1 - expected.failure_probability) - delay_cost
 
 
 def choose_owner(
     owners: Sequence[OwnerEstimate],
-    wish: PlacementRequest,
+    request: PlacementRequest,
     *,
     zone: AvailabilityZone,
     excluded: Collection[VmId],
     now: float,
     random: Random,
 ) -> OwnerEstimate | None:
-    """The owner to send a request to.
+    """Choose the owner that a request is sent to.
 
-    Each one is judged by the worth of the answer that can be expected there,
-    less the bytes that would cross to another zone. So a request stays in
-    its own zone as long as it has about the same chance to be in time there,
-    and large ones stay longer than small ones.
+    Owners are compared by the expected value of their answer, less the cost
+    of the bytes that would cross to another zone. A request therefore stays
+    in its own zone as long as it has about the same chance to meet its
+    objective there, and large requests stay longer than small ones.
     """
     usable = [
         owner
         for owner in _reachable(owners, excluded, now)
-        if _has_room(owner, wish, now)
-        and not owner.holds_back(wish.priority, now, random)
+        if _limit_allows(owner, request, now)
+        and not owner.should_throttle(request.priority, now, random)
     ]
-    near = [owner for owner in usable if owner.availability_zone == zone]
-    far = [owner for owner in usable if owner.availability_zone != zone]
-    best, worth = _best(near, wish, now, random)
-    other, worth_far = _best(far, wish, now, random)
-    if best is None or worth_far - wish.cross_zone_cost > worth:
-        return other or best
-    return best
+    local = [owner for owner in usable if owner.availability_zone == zone]
+    remote = [owner for owner in usable if owner.availability_zone != zone]
+    best_local, local_value = _choose_best(local, request, now, random)
+    best_remote, remote_value = _choose_best(remote, request, now, random)
+    if (
+        best_local is None
+        or remote_value - request.cross_zone_cost > local_value
+    ):
+        return best_remote or best_local
+    return best_local
 
 
 def find_limit_wait(
     owners: Sequence[OwnerEstimate],
-    wish: PlacementRequest,
+    request: PlacementRequest,
     *,
     excluded: Collection[VmId],
     now: float,
 ) -> float:
-    """Time until some limit has room, in seconds; 0 if there is no limit."""
-    pauses = [
-        owner.usual_pause(wish.priority)
+    """Shortest wait for a rate limit, in seconds; 0 without any limit."""
+    waits = [
+        owner.reported_limit_wait(request.priority)
         for owner in _reachable(owners, excluded, now)
         if owner.is_limited
     ]
-    return min(pauses, default=0)
+    return min(waits, default=0)
 
 
 def _reachable(
@@ -341,38 +378,42 @@
             yield owner
 
 
-def _has_room(owner: OwnerEstimate, wish: PlacementRequest, now: float) -> bool:
-    """Whether its limit has room so soon that it takes the request."""
-    wait = owner.limit_ready_at(wish.priority) - now
+def _limit_allows(
+    owner: OwnerEstimate, request: PlacementRequest, now: float
+) -> bool:
+    """Whether the owner's rate limit allows the request early enough."""
+    wait = owner.limit_ready_at(request.priority) - now
     if wait <= 0:
         return True
-    is_late = SPREAD * wish.mean_time > wish.time_to_objective
-    return fits_behind(
+    is_late = (
+        SERVICE_TIME_MARGIN * request.mean_time > request.time_to_objective
+    )
+    return is_worth_waiting(
         wait,
-        wish.mean_time,
-        left=None if is_late else wish.time_to_objective,
-        patience=wish.time_to_deadline,
+        request.mean_time,
+        time_to_objective=None if is_late else request.time_to_objective,
+        time_to_deadline=request.time_to_deadline,
     )
 
 
-def _best(
+def _choose_best(
     owners: list[OwnerEstimate],
-    wish: PlacementRequest,
+    request: PlacementRequest,
     now: float,
     random: Random,
 ) -> tuple[OwnerEstimate | None, float]:
-    if len(owners) > _MAX_LOOKS:
-        owners = random.sample(owners, _MAX_LOOKS)
+    if len(owners) > _MAX_CANDIDATES:
+        owners = random.sample(owners, _MAX_CANDIDATES)
     best = None
-    most = float('-inf')
-    worth = most
+    best_score = float('-inf')
+    best_value = best_score
     for owner in owners:
-        expected = forecast(owner, wish, now)
-        likely = expect_worth(expected, wish)
-        expected.service *= 1 + _NOISE * random.random()
-        ranked = expect_worth(expected, wish)
-        if ranked > most:
+        expected = forecast(owner, request, now)
+        value = expected_value(expected, request)
+        expected.service_time *= 1 + _NOISE * random.random()
+        score = expected_value(expected, request)
+        if score > best_score:
             best = owner
-            most = ranked
-            worth = likely
-    return best, worth
+            best_score = score
+            best_value = value
+    return best, best_value
--- a/libs/policy/src/verbenamill_policy/quarantine.py
+++ b/libs/policy/src/verbenamill_policy/quarantine.py
@@ -1,15 +1,16 @@
-"""Requests under which upstreams crash: who is suspected, who is blocked.
+"""Quarantine of requests under which upstreams crash.
 
 A query of death crashes each upstream that runs it, and its caller sends it
-again. A crash alone tells little: all requests in hand beside it are lost as
-well. But a harmless one completes elsewhere, soon after, and a deadly one
-never does. So each crash accuses what was in hand and did not complete, and a
-completion clears. What was in hand at several crashes runs alone from then on,
-and if upstreams still crash under it, it is blocked.
-
-All daemons merge what they know. Records of one round are joined, and a later
-round replaces an earlier one, so the order in which records come is of no
-matter.
+again. A single crash is weak evidence, since all other requests in flight at
+that upstream are lost as well. However, a harmless request soon completes at
+another upstream, and a deadly one never does. Each crash therefore counts
+against the requests that were in flight and have not completed, and a
+completion clears a request. A request that was in flight at several crashes
+runs in isolation from then on, and is blocked if upstreams still crash.
+
+All daemons merge their records. Records of one round are joined, and a later
+round replaces an earlier one, so the result does not depend on the order in
+which records arrive.
 """
 
 from collections.abc import Iterator
@@ -20,41 +21,45 @@
 import msgspec
 from msgspec import Struct
 
-from verbenamill_policy.fingerprints import SIZE, Fingerprint
+from verbenamill_policy.fingerprints import FINGERPRINT_BYTES, Fingerprint
 
-#: Names one crash of one upstream.
+#: Identifies one crash of one upstream.
 CrashId = NewType('CrashId', str)
 
-#: Crashes from which on a request runs once at a time at each daemon, and
-#: from which on it is blocked, if one of them was in such a run.
+#: Number of crashes from which on each daemon runs a request once at a time.
 ISOLATE_AFTER = 2
+#: Number of crashes from which on a request is blocked, if one of them
+#: occurred in an isolated run.
 BLOCK_AFTER = 3
-#: Time from the crash that blocks to the first refusal, in seconds. Requests
-#: are held meanwhile: upstreams of one rack may crash together, and copies of
-#: a popular request under way elsewhere complete and clear it.
+#: Time from the crash that blocks a request to its first refusal, in seconds.
+#: Meanwhile requests are held: upstreams of one rack may crash together, and
+#: copies of a popular request that are in flight elsewhere complete and clear
+#: it.
 HOLD_TIME = 0.5
-#: Time of the first block, in seconds, and its factor at each further crash.
+#: Duration of the first block, in seconds, and its factor for each further
+#: crash.
 BLOCK_TIME = 900
 BLOCK_FACTOR = 4
-LONGEST_BLOCK = 24 * 3600
-#: How long a suspicion that never led to a block is kept, in seconds.
+MAX_BLOCK_TIME = 24 * 3600
+#: Lifetime of a suspicion that never led to a block, in seconds.
 SUSPICION_TIME = 900
-#: Bounds of what callers and other daemons can make this one remember.
+#: Bounds of the memory that callers and other daemons can make this one use.
 MAX_RECORDS = 512
 MAX_CRASHES = 8
-MAX_NAME = 64
-MAX_ABOUT = 120
+MAX_NAME_LENGTH = 64
+MAX_ABOUT_LENGTH = 120
 
 
 class Suspect(Struct, frozen=True, kw_only=True, array_like=True):
-    """What is known of one fingerprint.
-
-    :param round: grows when the request is cleared.
-    :param crashes: under it in this round, in alphabetical order; none once
-        it is cleared.
-    :param alone: those of them in runs that were begun for a suspicion, one
-        at a time.
-    :param changed_at: newest crash, or when it was cleared; Unix time in s.
+    """Everything known about one fingerprint.
+
+    :param round: increases when the request is cleared.
+    :param crashes: crashes in this round while the request was in flight, in
+        alphabetical order; empty once it is cleared.
+    :param alone: those of the crashes that occurred in isolated runs, which
+        are started one at a time because of the suspicion.
+    :param changed_at: time of the newest crash or of the clearance, as Unix
+        time in seconds.
     :param about: method, host and path, for operators.
     """
 
@@ -67,25 +72,26 @@
 
     @property
     def is_blocked(self) -> bool:
-        """Whether it was in hand at enough crashes to be refused."""
+        """Whether enough crashes occurred to refuse the request."""
         return len(self.crashes) >= BLOCK_AFTER and bool(self.alone)
 
     @property
     def block_time(self) -> int:
-        """How long its newest crash blocks it, in seconds."""
-        further = len(self.crashes) - BLOCK_AFTER
-        if further < 0:
+        """Duration of the block after the newest crash, in seconds."""
+        excess = len(self.crashes) - BLOCK_AFTER
+        if excess < 0:
             return 0
-        span = int(BLOCK_TIME * BLOCK_FACTOR**further)
-        return min(span, LONGEST_BLOCK)
+        duration = int(BLOCK_TIME * BLOCK_FACTOR**excess)
+        return min(duration, MAX_BLOCK_TIME)
 
 
 @unique
 class QuarantineStatus(Enum):
-    """What may be done with a request.
+    """Treatment of a request.
 
-    ``HELD`` waits until it is cleared, or is refused. ``ISOLATED`` runs while
-    no other copy of it does, so that one run at a time can crash an upstream.
+    ``HELD`` requests wait until they are cleared or refused. ``ISOLATED``
+    requests run while no other copy of them does, so that only one run at a
+    time can crash an upstream.
     """
 
     CLEAR = 'clear'
@@ -97,9 +103,9 @@
 
 @unique
 class MergeResult(Enum):
-    """What became of another daemon's record.
+    """Result of merging another daemon's record.
 
-    ``BEHIND``: the other one lacks something that is known here.
+    ``SENDER_BEHIND`` means that the other daemon lacks something known here.
     """
 
     CHANGED = 'news'
@@ -108,20 +114,20 @@
 
 
 class Quarantine:
-    """All fingerprints that are suspected, as one daemon knows them.
+    """All suspected fingerprints that one daemon knows of.
 
-    :param block_jitter: share of a block's time that this daemon waits longer
-        before it lets one copy run again. It differs between daemons, so that
-        the first that tries tells the others before they do.
+    :param block_jitter: share of a block's duration that this daemon waits
+        longer before it runs one copy again. It differs between daemons, so
+        that the first daemon to try reports its result before the others try.
     """
 
     def __init__(self, *, block_jitter: float = 0) -> None:
         self._block_jitter = block_jitter
         self._records: dict[Fingerprint, Suspect] = {}
         self._shared: set[Fingerprint] = set()
-        self._untold: set[Fingerprint] = set()
+        self._unshared: set[Fingerprint] = set()
         self._held_until: dict[Fingerprint, float] = {}
-        self._accused = 0
+        self._suspected_count = 0
 
     def __iter__(self) -> Iterator[Suspect]:
         return iter(self._records.values())
@@ -131,29 +137,29 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is suspected, so that no request needs a look."""
-        return not self._accused
+        """Whether nothing is suspected, so that requests need no check."""
+        return not self._suspected_count
 
     @property
     def suspected_count(self) -> int:
-        """Fingerprints that are suspected or blocked."""
-        return self._accused
+        """Number of fingerprints that are suspected or blocked."""
+        return self._suspected_count
 
     @property
     def blocked(self) -> list[Suspect]:
-        """Those that are refused, or were until a further run is due."""
+        """Blocked records, including those whose block has expired."""
         return [one for one in self if one.is_blocked]
 
     @property
     def digest(self) -> int:
-        """One number for all that is blocked; equal knowledge, equal number."""
-        found = 0
+        """Checksum of all blocked records, to compare two daemons by."""
+        checksum = 0
         for one in self.blocked:
-            found ^= crc32(msgspec.msgpack.encode(one))
-        return found
+            checksum ^= crc32(msgspec.msgpack.encode(one))
+        return checksum
 
     def get(self, fingerprint: Fingerprint) -> Suspect | None:
-        """What is known of a fingerprint."""
+        """Return the record of a fingerprint."""
         return self._records.get(fingerprint)
 
     def find_status(
@@ -163,44 +169,47 @@
         now: float,
         wall: float,
     ) -> QuarantineStatus:
-        """What may be done with a request.
+        """Find how a request is treated.
 
-        :param now: on a monotonic clock, in seconds.
+        :param now: time on a monotonic clock, in seconds.
         :param wall: Unix time in seconds; it may jump by some seconds.
         """
         record = self._records.get(fingerprint)
         if record is None or not record.crashes:
             return QuarantineStatus.CLEAR
         if not record.is_blocked:
-            is_alone = len(record.crashes) >= ISOLATE_AFTER
+            is_isolated = len(record.crashes) >= ISOLATE_AFTER
             return (
                 QuarantineStatus.ISOLATED
-                if is_alone
+                if is_isolated
                 else QuarantineStatus.SUSPECTED
             )
         if now < self._held_until.get(fingerprint, 0):
             return QuarantineStatus.HELD
-        is_over = not self.blocked_for(record, wall=wall)
+        has_expired = not self.blocked_for(record, wall=wall)
         return (
-            QuarantineStatus.ISOLATED if is_over else QuarantineStatus.BLOCKED
+            QuarantineStatus.ISOLATED
+            if has_expired
+            else QuarantineStatus.BLOCKED
         )
 
     def blocked_for(self, record: Suspect, *, wall: float) -> float:
-        """How much longer a request is refused here, in seconds."""
-        # Beside a request of more crashes it may have been a passenger.
+        """Remaining time for which a request is refused here, in seconds."""
+        # A request with more crashes that was in flight at the same time is
+        # the more likely cause of each of them.
         if all(self._is_explained(one, record) for one in record.alone):
             return 0
         if not record.is_blocked:
             return 0
-        span = record.block_time * (1 + self._block_jitter)
-        return max(record.changed_at + span - wall, 0)
+        duration = record.block_time * (1 + self._block_jitter)
+        return max(record.changed_at + duration - wall, 0)
 
     def held_until(self, fingerprint: Fingerprint) -> float:
-        """End of the time in which a request is held, on the clock of now."""
+        """Time until which a request is held, on the monotonic clock."""
         return self._held_until.get(fingerprint, 0)
 
     def may_retry(self, fingerprint: Fingerprint) -> bool:
-        """Whether one coming of a request may reach a further upstream."""
+        """Whether a failed request may be sent to a further upstream."""
         record = self._records.get(fingerprint)
         return record is None or len(record.crashes) < ISOLATE_AFTER
 
@@ -214,28 +223,28 @@
         now: float,
         wall: float,
     ) -> None:
-        """Note that an upstream crashed while it ran a request.
+        """Record that an upstream crashed while it ran a request.
 
-        :param alone: whether the run was begun with the request suspected, so
-            that no other copy ran from the same daemon.
+        :param alone: whether the request was suspected when the run started,
+            so that no other copy ran from the same daemon.
         """
         known = self._records.get(fingerprint) or Suspect(
             fingerprint=fingerprint,
-            about=about[:MAX_ABOUT],
+            about=about[:MAX_ABOUT_LENGTH],
         )
-        name = CrashId(crash[:MAX_NAME])
-        if name in known.crashes:
+        crash_id = CrashId(crash[:MAX_NAME_LENGTH])
+        if crash_id in known.crashes:
             return
         self._put(
             msgspec.structs.replace(
                 known,
-                crashes=_join(known.crashes, (name,)),
-                alone=_join(known.alone, (name,) if alone else ()),
+                crashes=_join(known.crashes, (crash_id,)),
+                alone=_join(known.alone, (crash_id,) if alone else ()),
                 changed_at=int(wall),
             ),
             now=now,
         )
-        self._untold.add(fingerprint)
+        self._unshared.add(fingerprint)
 
     def record_completion(
         self,
@@ -244,9 +253,10 @@
         now: float,
         wall: float,
     ) -> bool:
-        """Note that a request has completed; tells whether others must know.
+        """Clear a request, since an upstream has completed it.
 
-        :returns: ``True`` if other daemons know of the suspicion.
+        :returns: ``True`` if other daemons know of the suspicion and have to
+            be informed.
         """
         known = self._records.get(fingerprint)
         if known is None or not known.crashes:
@@ -267,16 +277,19 @@
         return True
 
     def mark_shared(self, fingerprint: Fingerprint) -> bool:
-        """Mark a suspicion as told; tells whether others lack something."""
-        if fingerprint not in self._untold:
+        """Mark a suspicion as sent to the other daemons.
+
+        :returns: ``True`` if it holds something that was not sent before.
+        """
+        if fingerprint not in self._unshared:
             return False
-        self._untold.discard(fingerprint)
+        self._unshared.discard(fingerprint)
         self._shared.add(fingerprint)
         return True
 
     def merge(self, record: Suspect, *, now: float) -> MergeResult:
-        """Take in what another daemon knows."""
-        if not _is_sound(record):
+        """Merge a record of another daemon."""
+        if not _is_valid(record):
             return MergeResult.KNOWN
         known = self._records.get(record.fingerprint)
         self._shared.add(record.fingerprint)
@@ -300,13 +313,13 @@
         )
 
     def sweep(self, *, wall: float) -> None:
-        """Forget what is too old to be of use."""
+        """Remove expired records."""
         for one in list(self):
-            if wall > one.changed_at + _life_of(one):
+            if wall > one.changed_at + _lifetime(one):
                 self._drop(one.fingerprint)
 
     def _is_explained(self, crash: CrashId, record: Suspect) -> bool:
-        """Whether a request of more crashes was in hand at a crash as well."""
+        """Whether a request with more crashes was in flight at a crash."""
         return any(
             crash in other.crashes and len(other.crashes) > len(record.crashes)
             for other in self
@@ -319,17 +332,17 @@
         if record.is_blocked and not was_blocked:
             self._held_until[fingerprint] = now + HOLD_TIME
         self._records[fingerprint] = record
-        self._accused += bool(record.crashes)
-        self._accused -= before is not None and bool(before.crashes)
+        self._suspected_count += bool(record.crashes)
+        self._suspected_count -= before is not None and bool(before.crashes)
         if len(self._records) > MAX_RECORDS:
-            least = min(self, key=_weight)
+            least = min(self, key=_eviction_key)
             self._drop(least.fingerprint)
 
     def _drop(self, fingerprint: Fingerprint) -> None:
         record = self._records.pop(fingerprint)
-        self._accused -= bool(record.crashes)
+        self._suspected_count -= bool(record.crashes)
         self._shared.discard(fingerprint)
-        self._untold.discard(fingerprint)
+        self._unshared.discard(fingerprint)
         self._held_until.pop(fingerprint, None)
 
 
@@ -340,28 +353,29 @@
     return tuple(sorted({*one, *other})[:MAX_CRASHES])
 
 
-def _life_of(record: Suspect) -> int:
-    """How long a record is kept after its newest change, in seconds."""
+def _lifetime(record: Suspect) -> int:
+    """Time that a record is kept after its newest change, in seconds."""
     if record.crashes and not record.is_blocked:
         return SUSPICION_TIME
-    # A block that has ended is remembered, so that one further crash renews
-    # it; what was cleared, so that a daemon that was cut off cannot undo it.
-    return record.block_time + LONGEST_BLOCK
+    # An expired block is kept so that a single further crash renews it. A
+    # cleared record is kept so that a daemon that was partitioned off cannot
+    # bring the suspicion back.
+    return record.block_time + MAX_BLOCK_TIME
 
 
-def _weight(record: Suspect) -> tuple[int, int]:
-    """Order in which records give way: those with most crashes stay."""
+def _eviction_key(record: Suspect) -> tuple[int, int]:
+    """Order in which records are evicted; those with most crashes stay."""
     return len(record.crashes), record.changed_at
 
 
-def _is_sound(record: Suspect) -> bool:
-    """Whether a record is one that a daemon of ours could have made."""
+def _is_valid(record: Suspect) -> bool:
+    """Whether a daemon of this program could have made a record."""
     for names in (record.crashes, record.alone):
-        is_long = any(len(one) > MAX_NAME for one in names)
-        if is_long or names != _join(names, ()):
+        has_long_name = any(len(one) > MAX_NAME_LENGTH for one in names)
+        if has_long_name or names != _join(names, ()):
             return False
     return (
-        len(record.fingerprint) == SIZE
+        len(record.fingerprint) == FINGERPRINT_BYTES
         and record.round >= 0
-        and len(record.about) <= MAX_ABOUT
+        and len(record.about) <= MAX_ABOUT_LENGTH
     )
--- a/libs/policy/src/verbenamill_policy/rollouts.py
+++ b/libs/policy/src/verbenamill_policy/rollouts.py
@@ -1,4 +1,4 @@
-"""Moves of a service's traffic to a new version: shares and their merge."""
+"""Moves of a service to a new version: traffic shares and merged progress."""
 
 from enum import Enum, unique
 
@@ -8,10 +8,10 @@
 
 
 class Order(Struct, frozen=True, kw_only=True):
-    """An operator's wish to move a service to a version.
+    """An operator's order to move a service to a version.
 
-    :param id: grows with each order; tells two orders for one service apart.
-    :param window: time in which it is to be done, in seconds.
+    :param id: number that increases with each order and identifies it.
+    :param window: time in which the move is to be done, in seconds.
     """
 
     id: int
@@ -22,7 +22,7 @@
 
 @unique
 class Verdict(Enum):
-    """Where an order stands, as told to the operator."""
+    """State of an order as reported to the operator."""
 
     RUNNING = 'running'
     DONE = 'done'
@@ -30,7 +30,7 @@
 
 
 class SettledOrder(Struct, frozen=True, kw_only=True):
-    """What was last told to the operator about a service."""
+    """The verdict on an order that was reported to the operator."""
 
     order: int
     service: ServiceName
@@ -39,21 +39,22 @@
 
 
 class Stage(Struct, frozen=True):
-    """One step of a move.
+    """One stage of a move.
 
-    :param share: of the service's requests that the new version gets.
-    :param begins: part of the window after which it may begin.
+    :param share: share of the service's requests that the new version gets.
+    :param begins: share of the window after which the stage may begin.
     """
 
     share: float
     begins: float
 
 
-#: A version that turns bad late or only under load must not have had a tenth
-#: of all requests of the window by then. Up to the stage that gives it nearly
-#: all it gets 5 % of them; the rest is what that stage sends until it is found
-#: out. There the old version keeps a little: without answers of both from the
-#: same seconds, a fault that hits both would look like one of the new one.
+#: Stages of a move. A version that turns bad late or only under load must not
+#: have had a tenth of all requests of the window by then. Before the stage
+#: with nearly all requests it gets 5 % of them; the rest is what that stage
+#: sends until the version is detected as bad. In that stage the old version
+#: keeps a small share: without answers of both versions from the same
+#: seconds, a fault that affects both would be attributed to the new one.
 STAGES = (
     Stage(0, 0),
     Stage(0.03, 0),
@@ -63,19 +64,21 @@
     Stage(1, 0.73),
 )
 LAST_STAGE = len(STAGES) - 1
-#: Part of the window at which a move without a finding is declared done.
+#: Share of the window after which a move without a finding is declared done.
 DONE_AT = 0.8
-#: Versions of a service whose verdicts are remembered. One that was taken
-#: back is stopped within minutes; a service sees a few moves in that time.
+#: Maximum number of versions of a service whose verdicts are remembered. A
+#: version that was taken back is stopped within minutes, and a service has
+#: only a few moves in that time.
 MAX_VERSIONS = 16
-#: Part of the window at which a move whose version never showed is given up.
-LOST_AT = 0.95
+#: Share of the window after which a move is given up if no upstream of its
+#: version has become ready.
+GIVE_UP_AT = 0.95
 
 
 class Progress(Struct, frozen=True, array_like=True):
-    """How far a move is; two of them merge to the further one.
+    """Progress of a move; two records merge to the more advanced one.
 
-    :param vetoed: wins over every stage.
+    :param vetoed: whether the version was vetoed, which overrides every stage.
     :param age: time since the order was first seen, in seconds.
     """
 
@@ -87,7 +90,7 @@
 
 
 def merge_progress(one: Progress, other: Progress) -> Progress:
-    """Join of what two daemons know; order of arrival does not matter."""
+    """Join the progress known to two daemons; the join is commutative."""
     assert one.service == other.service
     if one.order != other.order:
         return one if one.order > other.order else other
@@ -101,11 +104,11 @@
 
 
 class Shares(Struct, frozen=True, kw_only=True):
-    """How a service's requests are split between versions.
+    """Distribution of a service's requests over its versions.
 
-    :param target: version of the newest order; ``None`` before any.
-    :param share: part of the requests that the target gets, 0 to 1.
-    :param taken_back: versions of earlier moves that were found bad.
+    :param target: version of the newest order; ``None`` without any order.
+    :param share: share of the requests that the target gets, from 0 to 1.
+    :param taken_back: versions of earlier moves that were found to be bad.
     """
 
     target: VersionName | None = None
@@ -113,7 +116,7 @@
     taken_back: frozenset[VersionName] = frozenset()
 
     def allows(self, version: VersionName) -> bool:
-        """Whether a version may get any request."""
+        """Whether a version may get requests."""
         if self.target is None:
             return True
         if version == self.target:
@@ -122,13 +125,13 @@
 
 
 class Verdicts:
-    """The verdict on each version of one service.
+    """The latest verdict on each version of one service.
 
-    The upstreams of a version that was taken back run on for seconds. With
-    only the newest order remembered, such a version would count among the
-    old ones as soon as the next move is ordered, and fail requests again.
-    A later verdict on the same version replaces the earlier one, so that a
-    version that was mended under its old name is not barred for ever.
+    The upstreams of a version that was taken back keep running for seconds.
+    If only the newest order were remembered, such a version would count as an
+    old one as soon as the next move is ordered, and fail requests again. A
+    later verdict on the same version replaces the earlier one, so that a
+    version that was repaired under its old name is not excluded for ever.
     """
 
     def __init__(self) -> None:
@@ -136,7 +139,7 @@
 
     @property
     def taken_back(self) -> frozenset[VersionName]:
-        """Versions whose last verdict was against them."""
+        """Versions whose latest verdict is that they were taken back."""
         return frozenset(
             version
             for version, settled in self._by_version.items()
@@ -145,13 +148,13 @@
 
     @property
     def known(self) -> list[SettledOrder]:
-        """All verdicts, as one daemon tells them to another."""
+        """All verdicts, to be sent to other daemons."""
         return list(self._by_version.values())
 
     def add(self, settled: SettledOrder) -> bool:
-        """Take in a verdict; tells whether it was news.
+        """Add a verdict, and return whether it changed anything.
 
-        The order in which verdicts come does not matter.
+        The order in which verdicts arrive does not matter.
         """
         if settled.verdict is Verdict.RUNNING:
             return False
@@ -173,10 +176,10 @@
     *,
     taken_back: frozenset[VersionName] = frozenset(),
 ) -> Shares:
-    """Shares in force for a service.
+    """Find the shares in force for a service.
 
-    A daemon that has heard of an order and of no stage gives the new version
-    nothing; one that knows a verdict needs nothing else.
+    A daemon that knows an order but no stage sends the new version nothing.
+    A daemon that knows the verdict on the order needs no progress.
     """
     if settled is not None and (order is None or settled.order >= order.id):
         if settled.verdict is Verdict.DONE:
@@ -194,7 +197,7 @@
 
 
 class VersionCounter:
-    """Spreads the target's share evenly over a service's requests."""
+    """Distributes the target's share evenly over a service's requests."""
 
     def __init__(self) -> None:
         self._credits: dict[ServiceName, float] = {}
@@ -203,9 +206,10 @@
         """Whether the next request goes to the target."""
         if share <= 0 or share >= 1:
             return share >= 1
-        # Half a request of credit at first: many daemons that begin
-        # together would all send their first one at once, or none for long.
+        # The initial credit is half a request. With any other value, many
+        # daemons that start together would all send the target their first
+        # request, or none for a long time.
         credit = self._credits.get(service, 0.5) + share
-        wanted = credit >= 1
-        self._credits[service] = credit - wanted
-        return wanted
+        is_due = credit >= 1
+        self._credits[service] = credit - is_due
+        return is_due
--- a/libs/policy/src/verbenamill_policy/routes.py
+++ b/libs/policy/src/verbenamill_policy/routes.py
@@ -1,4 +1,4 @@
-"""The accepted configuration, and the route that a request takes."""
+"""The accepted configuration, and the selection of a request's route."""
 
 from enum import Enum, unique
 
@@ -9,7 +9,7 @@
 
 @unique
 class RouteKind(Enum):
-    """What may be repeated."""
+    """Whether and how requests of a route may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
@@ -24,14 +24,16 @@
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """Where requests of one host and path prefix go.
+    """Routing of the requests with one host and path prefix.
 
-    :param prefix: begins and ends with a slash; the longest match wins.
-    :param timeout: longest that a caller is kept waiting, in seconds.
+    :param prefix: path prefix that begins and ends with a slash; the longest
+        matching one is used.
+    :param timeout: maximum time until a caller gets an answer, in seconds.
     :param objective: latency objective, in seconds.
-    :param priority: 0 is served first.
-    :param max_attempts: upstreams that one request may be sent to.
-    :param splits: at least one; weights above 0.
+    :param priority: priority in queues; 0 is served first.
+    :param max_attempts: maximum number of upstreams that one request may be
+        sent to.
+    :param splits: services of the route, at least one, with positive weights.
     """
 
     name: RouteName
@@ -51,7 +53,7 @@
 
 
 class Limits(Struct, frozen=True, kw_only=True):
-    """Bounds on what a caller may send; times are in seconds."""
+    """Limits on the requests of callers, in bytes and seconds."""
 
     max_header: int = 32 * 1024
     max_body: int = 64 * 1024 * 1024
@@ -60,9 +62,9 @@
 
 
 class Configuration(Struct, frozen=True, kw_only=True):
-    """Everything a proxy runs; swapped whole.
+    """The complete configuration of a proxy, which is replaced as a whole.
 
-    :param version: grows with each accepted change.
+    :param version: increases with each accepted change.
     """
 
     version: ConfigVersion
@@ -82,10 +84,11 @@
             host[route.prefix.encode()] = route
 
     def find(self, host: bytes, target: bytes) -> Route | None:
-        """The route of a request; ``None`` if there is none.
+        """Find the route of a request; ``None`` if there is none.
 
-        Each prefix ends with a slash, so only the parts of the path that do
-        have to be looked up: the cost follows the path, not the routes.
+        Each prefix ends with a slash, so only the parts of the path that end
+        with one are looked up. The cost depends on the length of the path and
+        not on the number of routes.
         """
         prefixes = self._hosts.get(host.lower().partition(b':')[0])
         if prefixes is None:
@@ -101,17 +104,18 @@
 
 
 class SplitCounter:
-    """Gives each service its share of a route's requests, in turn.
+    """Distributes a route's requests over its services by weight.
 
-    Smooth weighted round robin: after any number of requests each part is
-    within one request of its weight, where random choice would stray.
+    It uses smooth weighted round robin: after any number of requests each
+    service is within one request of its share. Random choice would deviate
+    more.
     """
 
     def __init__(self) -> None:
         self._credits: dict[RouteName, list[float]] = {}
 
     def pick(self, route: Route) -> ServiceName:
-        """Service of the next request on a route."""
+        """Choose the service of the next request on a route."""
         splits = route.splits
         if len(splits) == 1:
             return splits[0].service
@@ -119,8 +123,8 @@
         if credits is None or len(credits) != len(splits):
             credits = [float(0) for _ in splits]
             self._credits[route.name] = credits
-        for place, split in enumerate(splits):
-            credits[place] += split.weight
+        for index, split in enumerate(splits):
+            credits[index] += split.weight
         best = max(range(len(splits)), key=credits.__getitem__)
         credits[best] -= sum(part.weight for part in splits)
         return splits[best].service
--- a/libs/policy/src/verbenamill_policy/rumors.py
+++ b/libs/policy/src/verbenamill_policy/rumors.py
@@ -1,12 +1,12 @@
-"""Rumor mongering: what is still passed on, and to whom.
-
-News spread among the daemons of one availability zone as rumors: each daemon
-passes them on to a few others at random, some rounds long, and loses interest
-sooner when it hears them again. Between zones, the daemon that makes the news
-sends them to one daemon of each other zone, and by chance about one other
-daemon of its zone does the same. So the bytes of a piece of news grow with
-the number of daemons in a zone plus the number of zones, and no daemon is
-special: there is no gateway whose loss has to be noticed.
+"""Rumor mongering: which updates are still forwarded, and to which daemons.
+
+Updates spread among the daemons of one availability zone as rumors: each
+daemon forwards them to a few others at random for a number of rounds, and
+stops earlier when it receives them again. The daemon at which an update
+originates sends it to one daemon of each other zone, and on average about one
+other daemon of its zone does the same. The traffic of an update is therefore
+proportional to the number of daemons in a zone plus the number of zones.
+There are no gateways, whose failure would have to be detected.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,19 +17,19 @@
 from verbenamill_model.typing import AvailabilityZone, VmId
 from verbenamill_policy.members import MemberRecord, MemberTable
 
-#: Rounds in which a daemon passes on a piece of news that it never hears
-#: again. Hearing it again takes one round off.
+#: Number of rounds in which a daemon forwards a rumor that it does not receive
+#: again. Each duplicate reduces the number by one.
 ROUNDS = 5
-#: Daemons of the own zone that each round goes to.
+#: Number of daemons in the own zone that each round is sent to.
 FANOUT = 3
-#: Daemons of each other zone that are sent a piece of news on average, beside
-#: the one that its maker sends it to.
+#: Average number of daemons in a zone that send a rumor to the other zones,
+#: in addition to its origin.
 RELAYS = 1
 
 
 @unique
 class RumorKind(Enum):
-    """What a piece of news is about."""
+    """Subject of a rumor."""
 
     MEMBER = 'member'
     PROGRESS = 'progress'
@@ -38,10 +38,10 @@
 
 
 class RumorKey(NamedTuple):
-    """Names a piece of news; its content is looked up when it is sent.
+    """Identifies a rumor, whose content is looked up when it is sent.
 
-    :param name: of the member's VM or of the moving service, or a fingerprint
-        in hexadecimal digits.
+    :param name: VM of the member, service of the move, or fingerprint in
+        hexadecimal digits.
     """
 
     kind: RumorKind
@@ -49,7 +49,7 @@
 
 
 class ActiveRumors:
-    """News that are still passed on."""
+    """Rumors that this daemon still forwards."""
 
     def __init__(self) -> None:
         self._rounds: dict[RumorKey, int] = {}
@@ -58,20 +58,22 @@
         return len(self._rounds)
 
     def start(self, key: RumorKey) -> None:
-        """Pass on something new."""
-        # At the end of the order, so that a flood does not starve the rest.
+        """Start to forward a rumor."""
+        # The rumor goes to the end of the order, so that a burst of updates
+        # of the same key does not starve the others.
         self._rounds.pop(key, None)
         self._rounds[key] = ROUNDS
 
     def record_duplicate(self, key: RumorKey) -> None:
-        """Another daemon knows it already."""
+        """Record that another daemon already knows a rumor."""
         if key in self._rounds:
             self._count_round(key)
 
     def next_round(self, limit: int) -> list[RumorKey]:
-        """What to pass on now.
+        """Rumors to forward now, whose remaining rounds are reduced.
 
-        :param limit: most that is passed on; the rest waits for its turn.
+        :param limit: maximum number of rumors; the others follow in later
+            rounds.
         """
         chosen = list(self._rounds)[:limit]
         for key in chosen:
@@ -87,9 +89,9 @@
 
 
 class Neighbours:
-    """Whom a daemon passes news on to.
+    """Random choice of the daemons that a rumor is forwarded to.
 
-    :param is_suspect: whether a daemon seems to be out of reach.
+    :param is_suspect: whether a daemon appears to be unreachable.
     """
 
     def __init__(
@@ -105,43 +107,43 @@
         self._zone = own.availability_zone
         self._random = random
         self._is_suspect = is_suspect
-        self._seen = -1
+        self._table_version = -1
         self._near: list[MemberRecord] = []
         self._far: dict[AvailabilityZone, list[MemberRecord]] = {}
 
     @property
     def near_count(self) -> int:
-        """Other daemons of the own zone."""
+        """Number of other daemons in the own zone."""
         self._refresh()
         return len(self._near)
 
     @property
     def other_zones(self) -> list[AvailabilityZone]:
-        """Zones but the own one that have daemons."""
+        """All zones with daemons except the own one."""
         self._refresh()
         return list(self._far)
 
     def pick_near(self, count: int) -> list[MemberRecord]:
-        """Some daemons of the own zone."""
+        """Choose some daemons of the own zone."""
         self._refresh()
         return self._pick(self._near, count)
 
     def pick_far(self, zone: AvailabilityZone) -> list[MemberRecord]:
-        """A daemon of another zone."""
+        """Choose a daemon of another zone."""
         self._refresh()
         return self._pick(self._far.get(zone, []), 1)
 
     def pick_any_far(self) -> list[MemberRecord]:
-        """A daemon of one of the other zones."""
+        """Choose a daemon of a random other zone."""
         self._refresh()
         if not self._far:
             return []
         return self.pick_far(self._random.choice(list(self._far)))
 
     def is_relay(self, *, share: float = RELAYS) -> bool:
-        """Whether chance makes this daemon speak for its zone.
+        """Decide at random whether this daemon sends to the other zones.
 
-        :param share: daemons of the zone that are to speak, on average.
+        :param share: average number of daemons in the zone that do so.
         """
         return self._random.random() * (self.near_count + 1) < share
 
@@ -150,28 +152,28 @@
         records: Sequence[MemberRecord],
         count: int,
     ) -> list[MemberRecord]:
-        """Some at random, suspects only if there are no others."""
+        """Choose at random, and suspects only if there are no others."""
         drawn = self._random.sample(records, min(2 * count, len(records)))
         drawn.sort(key=lambda record: self._is_suspect(record.vm))
         return drawn[:count]
 
     def _refresh(self) -> None:
-        if self._seen == self._table.version:
+        if self._table_version == self._table.version:
             return
-        self._seen = self._table.version
+        self._table_version = self._table.version
         self._near = [
             record
-            for record in self._staying(self._zone)
+            for record in self._candidates(self._zone)
             if record.vm != self._vm
         ]
         self._far = {
-            zone: self._staying(zone)
+            zone: self._candidates(zone)
             for zone in self._table.zones
             if zone != self._zone
         }
 
-    def _staying(self, zone: AvailabilityZone) -> list[MemberRecord]:
-        """Daemons of a zone that do not leave; all, if all do."""
-        everyone = self._table.in_zone(zone)
-        staying = [record for record in everyone if not record.leaving]
-        return staying or everyone
+    def _candidates(self, zone: AvailabilityZone) -> list[MemberRecord]:
+        """Daemons of a zone that are not leaving, or all if all are leaving."""
+        members = self._table.in_zone(zone)
+        staying = [record for record in members if not record.leaving]
+        return staying or members
--- a/libs/policy/src/verbenamill_policy/service_times.py
+++ b/libs/policy/src/verbenamill_policy/service_times.py
@@ -1,109 +1,116 @@
-"""How long requests take at an upstream, as moving averages."""
+"""Moving averages of the time that requests take at an upstream."""
 
 from math import erf, exp, log, sqrt
 
 from verbenamill_model.typing import RouteName
 
-#: Least weight of the newest request.
-WEIGHT = 0.1
-#: After this long, half of what was measured before is forgotten, in seconds.
-#: An upstream that was slow gets few requests. By number alone it would take
-#: some 20 of them to show that it has recovered, and until then its owner
-#: refuses and the others avoid it; one or two a second are enough so.
-HALVES = 1.0
-#: The same for the spread, which a single long time would move too far.
-_SPREAD_WEIGHT = 0.03
-#: Assumed before the first request of a route, as a part of its latency
-#: objective. Operators set an objective at three to four times the usual
-#: service time. A fixed time in its place would let a daemon that has just
-#: started admit several times too much long work.
-PRIOR_SHARE = 0.3
-#: Mean of all routes while nothing is known, in seconds.
-FIRST = 0.05
-#: Spread of a route's times (standard deviation of their logarithm) while
-#: nothing is known: a factor of about two either way.
-FIRST_SPREAD = 0.6
-#: Bounds of the spread; a few equal times do not make the next one certain.
-_LEAST_SPREAD = 0.3
-_MOST_SPREAD = 1.2
-#: Routes told apart; the others count together.
+#: Minimum weight of the newest request in a mean.
+MIN_WEIGHT = 0.1
+#: Half-life of a route's mean, in seconds. An upstream that was slow gets few
+#: requests. With a weight for each request alone, about 20 of them would be
+#: needed to show that it has recovered; until then its owner refuses requests
+#: and the other daemons avoid it. With the half-life, one or two requests a
+#: second are enough.
+HALF_LIFE = 1.0
+#: Weight of the newest request in the variance, which a single long time
+#: would otherwise change too much.
+_VARIANCE_WEIGHT = 0.03
+#: Service time assumed before the first request of a route, as a share of its
+#: latency objective. Operators set an objective to three to four times the
+#: usual service time. With a fixed time instead, a daemon that has just
+#: started would admit several times too many long requests.
+PRIOR_OBJECTIVE_SHARE = 0.3
+#: Mean over all routes before the first request, in seconds.
+INITIAL_MEAN = 0.05
+#: Standard deviation of the logarithm of a route's times before the first
+#: request: a factor of about two in both directions.
+INITIAL_LOG_DEVIATION = 0.6
+#: Bounds of this deviation. A few equal times do not make the next one
+#: certain.
+_MIN_LOG_DEVIATION = 0.3
+_MAX_LOG_DEVIATION = 1.2
+#: Maximum number of routes with separate averages.
 MAX_ROUTES = 64
 
 
-class _Route:
+class _RouteTimes:
     """Mean time of one route, and the variance of its logarithm."""
 
-    __slots__ = ('mean', 'variance', '_at')
+    __slots__ = ('mean', 'variance', '_updated_at')
 
     def __init__(self, took: float, now: float) -> None:
         self.mean = took
-        self.variance = FIRST_SPREAD**2
-        self._at = now
+        self.variance = INITIAL_LOG_DEVIATION**2
+        self._updated_at = now
 
     def add(self, took: float, now: float, half_life: float) -> None:
         median = self.mean * exp(-self.variance / 2)
         deviation = log(max(took, 0.001) / max(median, 0.001))
-        self.variance += _SPREAD_WEIGHT * (deviation**2 - self.variance)
-        self.variance = min(self.variance, _MOST_SPREAD**2)
-        forgotten = 1 - pow(2, -max(now - self._at, 0) / half_life)
-        self.mean += max(WEIGHT, forgotten) * (took - self.mean)
-        self._at = now
+        self.variance += _VARIANCE_WEIGHT * (deviation**2 - self.variance)
+        self.variance = min(self.variance, _MAX_LOG_DEVIATION**2)
+        decayed = 1 - pow(2, -max(now - self._updated_at, 0) / half_life)
+        self.mean += max(MIN_WEIGHT, decayed) * (took - self.mean)
+        self._updated_at = now
 
 
 class ServiceTimes:
-    """Service time of each route and of all, in seconds.
+    """Mean service time of each route and of all routes, in seconds.
 
-    :param half_life: after this long, half of a mean is forgotten, in seconds.
+    :param half_life: half-life of the mean of a route, in seconds.
     """
 
-    def __init__(self, *, half_life: float = HALVES) -> None:
-        self._halves = half_life
-        self._routes: dict[RouteName, _Route] = {}
+    def __init__(self, *, half_life: float = HALF_LIFE) -> None:
+        self._half_life = half_life
+        self._routes: dict[RouteName, _RouteTimes] = {}
         self._mean: float | None = None
 
     @property
     def mean(self) -> float:
         """Mean over all routes."""
-        return FIRST if self._mean is None else self._mean
+        return INITIAL_MEAN if self._mean is None else self._mean
 
     def expect(self, route: RouteName, *, objective: float = 0) -> float:
-        """Expected time of a request.
+        """Expected service time of a request.
 
         :param objective: latency objective of the route in seconds, from
-            which a route that was never seen is judged; 0 if not known, and
-            below where only what is left of it is known, and that is over.
+            which the time of an unknown route is estimated. It is 0 if it is
+            not known, and negative if only the remaining time to it is known
+            and has passed.
         """
         known = self._routes.get(route)
         if known is not None:
             return known.mean
-        return PRIOR_SHARE * objective if objective > 0 else self.mean
+        return PRIOR_OBJECTIVE_SHARE * objective if objective > 0 else self.mean
 
     def log_deviation(self, route: RouteName) -> float:
         """Standard deviation of the logarithm of a route's times."""
         known = self._routes.get(route)
         if known is None:
-            return FIRST_SPREAD
-        return max(sqrt(known.variance), _LEAST_SPREAD)
+            return INITIAL_LOG_DEVIATION
+        return max(sqrt(known.variance), _MIN_LOG_DEVIATION)
 
     def add(self, route: RouteName, took: float, now: float) -> None:
-        """Count a request that was answered.
+        """Record the service time of an answered request.
 
-        :param now: on the monotonic clock, in seconds.
+        :param now: time on the monotonic clock, in seconds.
         """
         known = self._routes.get(route)
         if known is not None:
-            known.add(took, now, self._halves)
+            known.add(took, now, self._half_life)
         elif len(self._routes) < MAX_ROUTES:
-            self._routes[route] = _Route(took, now)
+            self._routes[route] = _RouteTimes(took, now)
         before = took if self._mean is None else self._mean
-        self._mean = before + WEIGHT * (took - before)
+        self._mean = before + MIN_WEIGHT * (took - before)
 
 
-def chance(mean: float, log_deviation: float, left: float) -> float:
-    """Probability that a time of some mean and spread is at most ``left``.
+def probability_within(mean: float, log_deviation: float, left: float) -> float:
+    """Probability that a service time is at most ``left`` seconds.
 
-    Service times are taken as log-normal: most are short, and a few are
+    Service times are modelled as log-normal: most are short, and a few are
     several times longer.
+
+    :param mean: mean of the service times, in seconds.
+    :param log_deviation: standard deviation of their logarithm.
     """
     if left <= 0:
         return 0
--- a/libs/policy/src/verbenamill_policy/tallies.py
+++ b/libs/policy/src/verbenamill_policy/tallies.py
@@ -1,4 +1,4 @@
-"""What the owner of an upstream counts of it, for those who decide on moves."""
+"""Request counts of the owner of an upstream, for the decider of a move."""
 
 from collections.abc import Mapping
 from math import log, log2
@@ -13,23 +13,24 @@
     VmId,
 )
 
-#: Routes that an owner counts apart; the others count together.
+#: Maximum number of routes that an owner counts separately.
 MAX_ROUTES = 16
+#: Name under which all further routes are counted together.
 OTHER_ROUTES = RouteName('*')
 
-#: Buckets of a histogram of times for each doubling.
-_PER_DOUBLING = 4
-#: Shortest time that is told apart, in ms.
-_SHORTEST = 0.1
+#: Number of histogram buckets for each doubling of the time.
+_BUCKETS_PER_DOUBLING = 4
+#: Shortest time with a bucket of its own, in milliseconds.
+_MIN_TIME_MS = 0.1
 
 
 class RouteCounts(Struct, array_like=True):
-    """Counts of one route at one upstream since its daemon's start.
+    """Counts of one route at one upstream since the start of its daemon.
 
-    :param calls: requests that were answered or failed.
-    :param failed: of those, answers that tell of a failure.
+    :param calls: requests that were answered, failed or lost.
+    :param failed: answered requests whose answer reports a failure.
     :param times: histogram of service times, by `time_bucket`.
-    :param lost: of the calls, those that got no answer, as in a crash.
+    :param lost: requests without an answer, as in a crash.
     """
 
     route: RouteName
@@ -40,26 +41,26 @@
 
     @property
     def answered(self) -> int:
-        """Calls that got an answer."""
+        """Number of calls that got an answer."""
         return self.calls - self.lost
 
 
 def time_bucket(took: float) -> int:
-    """Bucket of a service time.
+    """Histogram bucket of a service time.
 
-    :param took: in seconds.
+    :param took: service time in seconds.
     """
-    return round(_PER_DOUBLING * log2(max(took * 1000, _SHORTEST)))
+    return round(_BUCKETS_PER_DOUBLING * log2(max(took * 1000, _MIN_TIME_MS)))
 
 
 def mean_log(times: Mapping[int, float]) -> float:
-    """Mean logarithm of the times in ms; at least one is needed."""
+    """Mean logarithm of the times in ms; at least one time is required."""
     total = sum(bucket * count for bucket, count in times.items())
-    return total / sum(times.values()) * log(2) / _PER_DOUBLING
+    return total / sum(times.values()) * log(2) / _BUCKETS_PER_DOUBLING
 
 
 def difference(counts: RouteCounts, before: RouteCounts) -> RouteCounts:
-    """What was counted since an earlier tally."""
+    """Counts that were added since an earlier tally."""
     times = {
         bucket: count - before.times.get(bucket, 0)
         for bucket, count in counts.times.items()
@@ -74,9 +75,10 @@
 
 
 class Tally(Struct, array_like=True):
-    """Cumulative counts of one owner; a lost report costs nothing.
+    """Cumulative counts of one owner, so that a lost report loses no counts.
 
-    :param instance: whose counts these are; they begin anew with another.
+    :param instance: upstream instance of the counts; they restart at zero for
+        each instance.
     """
 
     vm: VmId
@@ -87,14 +89,14 @@
 
 
 class UpstreamCounts:
-    """Counts of the own upstream."""
+    """Request counts of the local upstream."""
 
     def __init__(self) -> None:
         self._instance = ''
         self._routes: dict[RouteName, RouteCounts] = {}
 
     def begin(self, instance: str) -> None:
-        """Start anew for another upstream."""
+        """Reset the counts if the upstream instance has changed."""
         if instance != self._instance:
             self._instance = instance
             self._routes = {}
@@ -106,9 +108,10 @@
         failed: bool,
         took: float | None,
     ) -> None:
-        """Count a request that was answered.
+        """Count an answered request.
 
-        :param took: service time in seconds; ``None`` if it says nothing.
+        :param took: service time in seconds; ``None`` if it is not
+            representative.
         """
         counts = self._find(route)
         counts.calls += 1
@@ -118,7 +121,7 @@
             counts.times[bucket] = counts.times.get(bucket, 0) + 1
 
     def add_lost(self, route: RouteName) -> None:
-        """Count a request that got no answer."""
+        """Count a request without an answer."""
         counts = self._find(route)
         counts.calls += 1
         counts.lost += 1
@@ -134,7 +137,7 @@
         service: ServiceName,
         version: VersionName,
     ) -> Tally:
-        """All counts, for the decider."""
+        """Copy all counts into a report for the decider."""
         return Tally(
             vm=vm,
             instance=self._instance,
--- a/libs/policy/src/verbenamill_policy/transit.py
+++ b/libs/policy/src/verbenamill_policy/transit.py
@@ -1,51 +1,51 @@
-"""How long messages were on their way, from clocks that are not compared."""
+"""Transit delay of messages between daemons with unsynchronised clocks."""
 
-#: How long a shortest transit is remembered, in seconds. Clocks drift apart
-#: by some ten microseconds in that time, which is less than any transit.
+#: Time for which the shortest transit is remembered, in seconds. Clocks drift
+#: apart by some ten microseconds in that time, less than any transit time.
 WINDOW = 30.0
-#: Senders that are remembered; beyond it, the oldest is forgotten.
+#: Maximum number of senders that are remembered; the oldest is dropped first.
 MAX_SENDERS = 4096
 
 
-class _Sender:
-    """Least difference between the two clocks, in this window and before."""
+class _ClockOffset:
+    """Minimum difference between two clocks in this and the last window."""
 
-    __slots__ = ('_since', '_least', '_before')
+    __slots__ = ('_window_start', '_minimum', '_previous_minimum')
 
     def __init__(self, difference: float, now: float) -> None:
-        self._since = now
-        self._least = difference
-        self._before = difference
+        self._window_start = now
+        self._minimum = difference
+        self._previous_minimum = difference
 
     def add(self, difference: float, now: float) -> float:
-        """Take in a difference; by how much it exceeds the least one."""
-        if now - self._since > WINDOW:
-            self._before = self._least
-            self._least = difference
-            self._since = now
-        self._least = min(self._least, difference)
-        return difference - min(self._least, self._before)
+        """Add a difference, and return its excess over the minimum."""
+        if now - self._window_start > WINDOW:
+            self._previous_minimum = self._minimum
+            self._minimum = difference
+            self._window_start = now
+        self._minimum = min(self._minimum, difference)
+        return difference - min(self._minimum, self._previous_minimum)
 
 
 class TransitTimes:
-    """Tells messages that a link has held up.
+    """Detects messages that were delayed by a link.
 
-    A link that loses packets, or was cut for a moment, delivers a request a
-    second late, and its end a little later still. With the deadline that it
-    left with, it would run although its caller has gone. The shortest
-    transit of late from a sender tells how its clock differs from ours; what
-    a message took beyond that, it was held up.
+    A link that loses packets or was interrupted for a moment may deliver a
+    request a second late, and the end of it later still. With the deadline
+    from its sender, the request would run although its caller has given up.
+    The shortest recent transit from a sender estimates the difference of the
+    clocks; the time of a message beyond that is its delay.
     """
 
     def __init__(self) -> None:
-        self._senders: dict[str, _Sender] = {}
+        self._senders: dict[str, _ClockOffset] = {}
 
     def add(self, sender: str, *, sent: float, received: float) -> float:
-        """How much longer than usual a message was on its way, in seconds.
+        """Add a message, and return its delay beyond the usual, in seconds.
 
         :param sender: differs for each start of a daemon, as its clock does.
-        :param sent: when it left, on the sender's clock, in seconds.
-        :param received: when it came, on the own clock, in seconds.
+        :param sent: send time on the sender's clock, in seconds.
+        :param received: receive time on the own clock, in seconds.
         """
         difference = received - sent
         known = self._senders.get(sender)
@@ -53,5 +53,5 @@
             return known.add(difference, received)
         if len(self._senders) >= MAX_SENDERS:
             self._senders.pop(next(iter(self._senders)))
-        self._senders[sender] = _Sender(difference, received)
+        self._senders[sender] = _ClockOffset(difference, received)
         return 0
--- a/libs/policy/tests/test_budget.py
+++ b/libs/policy/tests/test_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from verbenamill_policy.budget import BURST, RATIO, RetryBudget
+from verbenamill_policy.budget import MAX_TOKENS, RETRY_RATIO, RetryBudget
 
 
 @settings(derandomize=True, deadline=None)
@@ -23,7 +23,7 @@
             rerun = budget.take(has_run=True)
             reruns += rerun
             repeats += rerun
-        assert repeats <= requests * RATIO + BURST
+        assert repeats <= requests * RETRY_RATIO + MAX_TOKENS
         assert reruns <= requests * 0.1 + 3
 
 
--- a/libs/policy/tests/test_pacing.py
+++ b/libs/policy/tests/test_pacing.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from verbenamill_policy.pacing import LEAST_RATE, TokenBucket
+from verbenamill_policy.pacing import MIN_RATE, TokenBucket
 
 #: What the platform allows beyond a limit, in spans of some seconds.
 FACTOR = 1.5
@@ -59,7 +59,7 @@
 def test_a_limit_of_none_is_asked_about_now_and_then():
     """Guards against an upstream that is throttled for good."""
     begun = begin_all(TokenBucket(0, 0), steps(60))
-    assert len(begun) == pytest.approx(60 * LEAST_RATE, abs=1)
+    assert len(begun) == pytest.approx(60 * MIN_RATE, abs=1)
     assert most_in_span(begun) <= SLACK
 
 
--- a/libs/policy/tests/test_placement.py
+++ b/libs/policy/tests/test_placement.py
@@ -82,8 +82,8 @@
 def test_load_that_was_told_long_ago_is_not_believed():
     owner = make_owner('one')
     owner.record_load(40, 0)
-    assert owner.expect_load(0.1) == 40
-    assert owner.expect_load(5) < 1
+    assert owner.estimate_load(0.1) == 40
+    assert owner.estimate_load(5) < 1
 
 
 def make_zone(load, slots=18):
--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -9,7 +9,7 @@
     BLOCK_AFTER,
     BLOCK_TIME,
     HOLD_TIME,
-    LONGEST_BLOCK,
+    MAX_BLOCK_TIME,
     MAX_CRASHES,
     MAX_RECORDS,
     SUSPICION_TIME,
@@ -157,7 +157,7 @@
     for number in range(20):
         record_crash(quarantine, f'e{number}/1', wall=end + 2)
     (record,) = quarantine
-    assert record.block_time == LONGEST_BLOCK
+    assert record.block_time == MAX_BLOCK_TIME
     assert len(record.crashes) == MAX_CRASHES
 
 
@@ -186,7 +186,7 @@
     block(quarantine, fingerprint=DEADLY)
     quarantine.sweep(wall=1000 + SUSPICION_TIME + 1)
     assert [one.fingerprint for one in quarantine] == [DEADLY]
-    quarantine.sweep(wall=1000 + BLOCK_TIME + LONGEST_BLOCK + 1)
+    quarantine.sweep(wall=1000 + BLOCK_TIME + MAX_BLOCK_TIME + 1)
     assert not len(quarantine)
     assert quarantine.is_idle
 
--- a/libs/policy/tests/test_service_times.py
+++ b/libs/policy/tests/test_service_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from verbenamill_policy.service_times import ServiceTimes, chance
+from verbenamill_policy.service_times import ServiceTimes, probability_within
 
 
 def test_a_route_that_was_never_seen_is_judged_by_its_objective():
@@ -42,14 +42,14 @@
     mean = sum(drawn) / len(drawn)
     for left in (0.1, 0.2, 0.4):
         below = sum(took <= left for took in drawn) / len(drawn)
-        assert abs(chance(mean, sigma, left) - below) < 0.05
+        assert abs(probability_within(mean, sigma, left) - below) < 0.05
         # The running average knows the spread to some tenths only.
-        assert abs(chance(mean, times.log_deviation('r'), left) - below) < 0.15
+        assert abs(probability_within(mean, times.log_deviation('r'), left) - below) < 0.15
 
 
 def test_no_time_left_is_no_chance():
-    assert chance(0.1, 0.5, 0) == 0
-    assert chance(0.1, 0.5, -1) == 0
+    assert probability_within(0.1, 0.5, 0) == 0
+    assert probability_within(0.1, 0.5, -1) == 0
 
 
 def test_an_upstream_that_recovered_is_known_after_few_requests():
--- a/libs/policy/tests/test_throttling.py
+++ b/libs/policy/tests/test_throttling.py
@@ -11,12 +11,12 @@
     sent = taken = 0
     for number in range(requests):
         now = number / rate
-        if throttle.holds_back(now, random):
+        if throttle.should_throttle(now, random):
             continue
         sent += 1
         is_taken = bool(takes_every) and number % takes_every == 0
         taken += is_taken
-        throttle.tell(now, taken=is_taken)
+        throttle.record(now, taken=is_taken)
     return sent, taken
 
 
@@ -41,7 +41,7 @@
     """Guards against a server that is avoided for good."""
     throttle = Throttle()
     for _ in range(100):
-        throttle.tell(0, taken=False)
+        throttle.record(0, taken=False)
     random = Random(1)
-    held = sum(throttle.holds_back(20, random) for _ in range(100))
+    held = sum(throttle.should_throttle(20, random) for _ in range(100))
     assert held == 0
