--- a/libs/policy/src/verbenamill_policy/routes.py
+++ b/libs/policy/src/verbenamill_policy/routes.py
@@ -33,7 +33,8 @@
     :param priority: priority in queues; 0 is served first.
     :param max_attempts: maximum number of upstreams that one request may be
         sent to.
-    :param splits: services of the route, at least one, with positive weights.
+    :param splits: services of the route, at least one, with weights
+        above 0.
     """
 
     name: RouteName
--- a/libs/policy/tests/test_service_times.py
+++ b/libs/policy/tests/test_service_times.py
@@ -44,7 +44,12 @@
         below = sum(took <= left for took in drawn) / len(drawn)
         assert abs(probability_within(mean, sigma, left) - below) < 0.05
         # The running average knows the spread to some tenths only.
-        assert abs(probability_within(mean, times.log_deviation('r'), left) - below) < 0.15
+        assert (
+            abs(
+                probability_within(mean, times.log_deviation('r'), left) - below
+            )
+            < 0.15
+        )
 
 
 def test_no_time_left_is_no_chance():
