--- a/libs/policy/tests/test_budget.py
+++ b/libs/policy/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget stays within its ratio in any order of events."""
+"""The retry budget stays within its ratio for any sequence of events."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,39 +7,39 @@
 
 
 @settings(derandomize=True, deadline=None)
-@given(st.lists(st.sampled_from(['request', 'unrun', 'run']), max_size=300))
-def test_repeats_stay_within_the_ratio(steps):
+@given(st.lists(st.sampled_from(['request', 'refused', 'run']), max_size=300))
+def test_retries_stay_within_the_ratio(steps):
     budget = RetryBudget()
     requests = 0
-    repeats = 0
+    retries = 0
     reruns = 0
     for step in steps:
         if step == 'request':
             requests += 1
             budget.earn()
-        elif step == 'unrun':
-            repeats += budget.take(has_run=False)
+        elif step == 'refused':
+            retries += budget.take(has_run=False)
         else:
             rerun = budget.take(has_run=True)
             reruns += rerun
-            repeats += rerun
-        assert repeats <= requests * RETRY_RATIO + MAX_TOKENS
+            retries += rerun
+        assert retries <= requests * RETRY_RATIO + MAX_TOKENS
         assert reruns <= requests * 0.1 + 3
 
 
 def spend(*, has_run):
     budget = RetryBudget()
-    repeats = 0
+    retries = 0
     for _ in range(1000):
         budget.earn()
-        repeats += budget.take(has_run=has_run)
-    return repeats
+        retries += budget.take(has_run=has_run)
+    return retries
 
 
-def test_who_was_refused_unrun_gets_more_repeats_than_who_failed():
-    # The upstreams of a service refuse half of all requests with slots free.
-    # A caller comes back once, so about a quarter of them would get nothing;
-    # a second upstream takes every other one of those that may still go
-    # there. Operators allow 200 repeats for these 1,000 requests.
+def test_refused_requests_get_more_retries_than_failed_ones():
+    # The upstreams of a service refuse half of all requests although slots are
+    # free. A caller retries once, so about a quarter of the requests would get
+    # no answer. A second upstream accepts every other request that may still
+    # be sent to it. Operators allow 200 retries for these 1,000 requests.
     assert 130 <= spend(has_run=False) <= 160
     assert 90 <= spend(has_run=True) <= 105
--- a/libs/policy/tests/test_heartbeats.py
+++ b/libs/policy/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Late, repeated and foreign heartbeats of the own upstream."""
+"""Delayed, repeated and unrelated heartbeats of the local upstream."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -30,140 +30,142 @@
 DRAINING = UpstreamState.DRAINING
 
 
-def test_a_late_heartbeat_does_not_undo_a_drain():
-    # The upstream says that it drains and is acknowledged. A heartbeat from
-    # before arrives afterwards; believed, callers would be sent to an
-    # upstream that is about to end.
-    register = UpstreamTracker(ADDRESS)
-    assert register.update(beat(1)) is HeartbeatResult.CHANGED
-    assert register.update(beat(3, state=DRAINING)) is HeartbeatResult.CHANGED
-    assert register.update(beat(2)) is HeartbeatResult.STALE
-    assert register.current.state is DRAINING
-
-
-def test_a_late_heartbeat_does_not_bring_back_one_that_left():
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(1))
-    assert register.leave('i1', 0, now=500)
-    assert register.update(beat(9)) is HeartbeatResult.STALE
-    assert register.current.state is UpstreamState.GONE
-
-
-def test_a_leave_that_comes_before_any_heartbeat_is_remembered():
-    # The daemon was just started again and knows no upstream. The upstream
-    # says that it ends and is acknowledged; then a heartbeat from before
-    # comes late. Believed, callers would be sent to an upstream that ends.
-    register = UpstreamTracker(ADDRESS)
-    assert not register.leave('i1', 100, now=500)
-    assert register.update(beat(9)) is HeartbeatResult.STALE
-    assert register.current is None
-    assert register.update(beat(1, born=200)) is HeartbeatResult.CHANGED
-
-
-def test_a_leave_without_a_start_ends_every_start_until_now():
-    # As above, but the upstream does not tell when it started. Compared by
-    # its start of 0 the late heartbeat would look newer than the leave, and
-    # callers would be sent to an upstream that ends.
-    register = UpstreamTracker(ADDRESS)
-    assert not register.leave('i1', 0, now=500)
-    assert register.update(beat(9)) is HeartbeatResult.STALE
-    assert register.current is None
-    assert register.update(beat(1, born=501)) is HeartbeatResult.CHANGED
-
-
-def test_a_leave_of_the_current_binds_while_the_clock_is_set_back():
-    # The clock of the VM is set back behind the start of its upstream. Its
-    # leave tells no start and must end it all the same.
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(1))
-    assert register.leave('i1', 0, now=50)
-    assert register.current.state is UpstreamState.GONE
-
-
-def test_a_successor_under_the_same_id_begins_anew():
-    # The upstream crashed and started again under its id; its numbers begin
-    # at 1. A heartbeat of the crashed one, held up by a partition, comes
-    # with a higher number and must not win.
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(50))
-    assert register.update(beat(1, born=200)) is HeartbeatResult.CHANGED
-    assert register.update(beat(51)) is HeartbeatResult.STALE
-    assert register.current.born == 200
-
-
-def test_a_crashed_upstream_does_not_displace_another():
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(50))
+def test_a_delayed_heartbeat_does_not_undo_a_drain():
+    # The upstream announces that it drains, and the daemon acknowledges it.
+    # Then an earlier heartbeat arrives. If it counted, callers would be sent
+    # to an upstream that is about to terminate.
+    tracker = UpstreamTracker(ADDRESS)
+    assert tracker.update(beat(1)) is HeartbeatResult.CHANGED
+    assert tracker.update(beat(3, state=DRAINING)) is HeartbeatResult.CHANGED
+    assert tracker.update(beat(2)) is HeartbeatResult.STALE
+    assert tracker.current.state is DRAINING
+
+
+def test_a_delayed_heartbeat_does_not_undo_a_shutdown():
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(1))
+    assert tracker.leave('i1', 0, now=500)
+    assert tracker.update(beat(9)) is HeartbeatResult.STALE
+    assert tracker.current.state is UpstreamState.GONE
+
+
+def test_a_shutdown_before_any_heartbeat_is_remembered():
+    # The daemon has just restarted and knows no upstream. The upstream
+    # announces its shutdown, and the daemon acknowledges it. Then an earlier
+    # heartbeat arrives. If it counted, callers would be sent to an upstream
+    # that terminates.
+    tracker = UpstreamTracker(ADDRESS)
+    assert not tracker.leave('i1', 100, now=500)
+    assert tracker.update(beat(9)) is HeartbeatResult.STALE
+    assert tracker.current is None
+    assert tracker.update(beat(1, born=200)) is HeartbeatResult.CHANGED
+
+
+def test_a_shutdown_without_a_start_time_ends_every_start_until_now():
+    # As above, but the upstream does not state its start time. Compared with a
+    # start time of 0, the delayed heartbeat would appear newer than the
+    # shutdown, and callers would be sent to an upstream that terminates.
+    tracker = UpstreamTracker(ADDRESS)
+    assert not tracker.leave('i1', 0, now=500)
+    assert tracker.update(beat(9)) is HeartbeatResult.STALE
+    assert tracker.current is None
+    assert tracker.update(beat(1, born=501)) is HeartbeatResult.CHANGED
+
+
+def test_a_shutdown_counts_while_the_clock_is_set_back():
+    # The clock of the VM is set back to before the start of its upstream. The
+    # shutdown notice states no start time, and must still end the upstream.
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(1))
+    assert tracker.leave('i1', 0, now=50)
+    assert tracker.current.state is UpstreamState.GONE
+
+
+def test_a_successor_with_the_same_id_has_its_own_numbers():
+    # The upstream crashed and restarted with the same id, and its heartbeat
+    # numbers restart at 1. A heartbeat of the crashed process, delayed by a
+    # partition, has a higher number and must not replace the successor.
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(50))
+    assert tracker.update(beat(1, born=200)) is HeartbeatResult.CHANGED
+    assert tracker.update(beat(51)) is HeartbeatResult.STALE
+    assert tracker.current.born == 200
+
+
+def test_a_crashed_upstream_does_not_replace_its_successor():
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(50))
     assert (
-        register.update(beat(1, instance='i2', born=200))
+        tracker.update(beat(1, instance='i2', born=200))
         is HeartbeatResult.CHANGED
     )
-    assert register.update(beat(51)) is HeartbeatResult.STALE
-    assert register.current.instance == 'i2'
+    assert tracker.update(beat(51)) is HeartbeatResult.STALE
+    assert tracker.current.instance == 'i2'
 
 
-def test_a_heartbeat_from_elsewhere_is_none_of_the_own_upstream():
-    register = UpstreamTracker('10.0.0.2:80')
-    assert register.update(beat(1)) is HeartbeatResult.OTHER_ADDRESS
-    assert register.current is None
+def test_a_heartbeat_with_another_address_is_ignored():
+    tracker = UpstreamTracker('10.0.0.2:80')
+    assert tracker.update(beat(1)) is HeartbeatResult.OTHER_ADDRESS
+    assert tracker.current is None
 
 
-def test_what_others_remember_of_a_drain_counts_after_a_restart():
-    # The daemon acknowledged a drain, told the others and was killed. Its
-    # successor hears a heartbeat from before the drain first.
+def test_a_drain_is_restored_after_a_restart():
+    # The daemon acknowledged a drain, announced it to the others and was
+    # killed. The restarted daemon first gets a heartbeat from before the drain.
     before = UpstreamTracker(ADDRESS)
     before.update(beat(1))
     before.update(beat(3, state=DRAINING))
-    register = UpstreamTracker(ADDRESS)
-    register.restore(before.current)
-    assert register.update(beat(2)) is HeartbeatResult.STALE
-    assert register.update(beat(4, state=DRAINING)) is HeartbeatResult.CHANGED
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.restore(before.current)
+    assert tracker.update(beat(2)) is HeartbeatResult.STALE
+    assert tracker.update(beat(4, state=DRAINING)) is HeartbeatResult.CHANGED
 
 
-def test_what_others_remember_comes_second():
-    register = UpstreamTracker(ADDRESS)
+def test_a_drain_is_restored_after_the_first_heartbeat():
+    tracker = UpstreamTracker(ADDRESS)
     before = UpstreamTracker(ADDRESS)
     before.update(beat(3, state=DRAINING))
-    register.update(beat(2))
-    register.restore(before.current)
-    assert register.current.state is DRAINING
+    tracker.update(beat(2))
+    tracker.restore(before.current)
+    assert tracker.current.state is DRAINING
 
 
-def test_what_is_known_already_is_no_news():
-    # Others echo what this daemon told them. If each echo counted as a
-    # change, it would be told again, and the echoes would never end.
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(3, state=DRAINING))
-    assert not register.restore(register.current)
+def test_restoring_the_current_record_changes_nothing():
+    # Other daemons send back what this daemon announced. If each echo counted
+    # as a change, it would be announced again, and the echoes would never end.
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(3, state=DRAINING))
+    assert not tracker.restore(tracker.current)
 
 
-def test_a_restarted_daemon_goes_on_with_its_upstream():
-    # All daemons were killed at once and their upstreams run on. Without
-    # what the store remembers, no caller is served before the heartbeats.
+def test_a_restarted_daemon_continues_with_its_upstream():
+    # All daemons were killed at once while their upstreams kept running.
+    # Without the record in the store, no caller is served before the next
+    # heartbeats.
     before = UpstreamTracker(ADDRESS)
     before.update(beat(3))
-    register = UpstreamTracker(ADDRESS)
-    assert register.restore(before.current)
-    assert register.current.state is UpstreamState.READY
-    assert register.update(beat(4)) is HeartbeatResult.UNCHANGED
+    tracker = UpstreamTracker(ADDRESS)
+    assert tracker.restore(before.current)
+    assert tracker.current.state is UpstreamState.READY
+    assert tracker.update(beat(4)) is HeartbeatResult.UNCHANGED
 
 
-def test_a_ready_memory_does_not_undo_what_is_known():
+def test_a_restored_ready_state_does_not_override_a_heartbeat():
     before = UpstreamTracker(ADDRESS)
     before.update(beat(3))
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(4, state=DRAINING))
-    assert not register.restore(before.current)
-    assert register.current.state is DRAINING
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(4, state=DRAINING))
+    assert not tracker.restore(before.current)
+    assert tracker.current.state is DRAINING
 
 
-def test_one_that_could_not_be_reached_comes_back_with_a_heartbeat():
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(1))
-    register.mark_gone('i1')
-    assert register.current.state is UpstreamState.GONE
-    assert register.update(beat(2)) is HeartbeatResult.CHANGED
-    assert register.current.state is UpstreamState.READY
+def test_an_unreachable_upstream_is_ready_again_after_a_heartbeat():
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(1))
+    tracker.mark_gone('i1')
+    assert tracker.current.state is UpstreamState.GONE
+    assert tracker.update(beat(2)) is HeartbeatResult.CHANGED
+    assert tracker.current.state is UpstreamState.READY
 
 
 @settings(derandomize=True, deadline=None)
@@ -177,12 +179,12 @@
         ),
     ),
 )
-def test_the_current_one_never_goes_back(beats):
-    register = UpstreamTracker(ADDRESS)
+def test_the_current_upstream_is_never_replaced_by_an_older_one(beats):
+    tracker = UpstreamTracker(ADDRESS)
     newest = (0, 0)
     for one in beats:
-        register.update(one)
-        order = (register.current.born, register.current.heartbeat)
+        tracker.update(one)
+        order = (tracker.current.born, tracker.current.heartbeat)
         assert order >= newest
         newest = order
     if beats:
@@ -192,59 +194,59 @@
 LIMIT = RateLimit(2.3, 1000)
 
 
-def test_a_limit_holds_for_one_start_of_an_upstream():
-    """Guards against the limit of a start that has ended."""
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(1))
-    register.set_limit(LIMIT)
-    assert register.update(beat(2)) is HeartbeatResult.UNCHANGED
-    assert register.current.limit == LIMIT
-    register.update(beat(1, born=200))
-    assert register.current.limit is None
+def test_a_rate_limit_applies_to_one_start_of_an_upstream():
+    """Guards against the rate limit of a start that has ended."""
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(1))
+    tracker.set_limit(LIMIT)
+    assert tracker.update(beat(2)) is HeartbeatResult.UNCHANGED
+    assert tracker.current.limit == LIMIT
+    tracker.update(beat(1, born=200))
+    assert tracker.current.limit is None
 
 
-def test_heartbeats_do_not_undo_a_leave_that_was_said_in_band():
-    """Guards against work for an upstream whose heartbeats go on as ever."""
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(1))
-    assert register.leave_in_band('i1', 100)
-    assert not register.leave_in_band('i1', 100)
-    assert register.update(beat(2)) is HeartbeatResult.STALE
-    assert register.current.state is DRAINING
-    assert register.update(beat(1, born=200)) is HeartbeatResult.CHANGED
+def test_heartbeats_do_not_undo_a_shutdown_announced_in_band():
+    """Guards against requests to an upstream whose heartbeats continue."""
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(1))
+    assert tracker.leave_in_band('i1', 100)
+    assert not tracker.leave_in_band('i1', 100)
+    assert tracker.update(beat(2)) is HeartbeatResult.STALE
+    assert tracker.current.state is DRAINING
+    assert tracker.update(beat(1, born=200)) is HeartbeatResult.CHANGED
 
 
-def test_a_leave_in_band_of_another_start_means_nothing():
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(1, born=200))
-    assert not register.leave_in_band('i1', 100)
-    assert register.current.state is UpstreamState.READY
+def test_an_in_band_shutdown_of_another_start_is_ignored():
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(1, born=200))
+    assert not tracker.leave_in_band('i1', 100)
+    assert tracker.current.state is UpstreamState.READY
 
 
-def test_a_leave_outlives_starts_of_the_daemon_in_series():
-    """Guards against a second restart that forgets what the first recalled."""
+def test_a_shutdown_survives_several_restarts_of_the_daemon():
+    """Guards against a second restart that loses what the first restored."""
     first = UpstreamTracker(ADDRESS)
     first.update(beat(7))
     first.leave_in_band('i1', 100)
     record = first.current
     for _ in range(3):
-        next_start = UpstreamTracker(ADDRESS)
-        assert next_start.restore(record)
-        assert next_start.update(beat(9)) is HeartbeatResult.STALE
-        record = next_start.current
+        restarted = UpstreamTracker(ADDRESS)
+        assert restarted.restore(record)
+        assert restarted.update(beat(9)) is HeartbeatResult.STALE
+        record = restarted.current
         assert record.state is DRAINING
 
 
-def test_a_leave_that_comes_after_the_first_heartbeat_counts():
-    """Guards against a reminder that arrives late."""
+def test_a_shutdown_is_restored_after_the_first_heartbeat():
+    """Guards against a record of other daemons that arrives late."""
     leaving = UpstreamTracker(ADDRESS)
     leaving.update(beat(7))
     leaving.leave_in_band('i1', 100)
-    register = UpstreamTracker(ADDRESS)
-    register.update(beat(8))
-    assert register.restore(leaving.current)
-    assert register.current.state is DRAINING
-    assert register.update(beat(9)) is HeartbeatResult.STALE
-    assert register.leave('i1', 100, now=0)
-    assert register.current.state is UpstreamState.GONE
-    assert not register.restore(leaving.current)
+    tracker = UpstreamTracker(ADDRESS)
+    tracker.update(beat(8))
+    assert tracker.restore(leaving.current)
+    assert tracker.current.state is DRAINING
+    assert tracker.update(beat(9)) is HeartbeatResult.STALE
+    assert tracker.leave('i1', 100, now=0)
+    assert tracker.current.state is UpstreamState.GONE
+    assert not tracker.restore(leaving.current)
--- a/libs/policy/tests/test_limits.py
+++ b/libs/policy/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that an upstream names: which are believed, and when they end."""
+"""Rate limits of an upstream: parsing, validity and announcement."""
 
 import pytest
 from hypothesis import given
@@ -11,7 +11,7 @@
     ('value', 'rate'),
     [(b'5', 5), (b'2.3', 2.3), (b'0', 0), (b'.5', 0.5), (b'7.', 7)],
 )
-def test_a_decimal_number_names_a_limit(value, rate):
+def test_a_decimal_number_is_a_limit(value, rate):
     assert read_rate([value]) == rate
 
 
@@ -34,72 +34,72 @@
         b'.',
     ],
 )
-def test_what_is_no_decimal_number_names_no_limit(value):
-    """Guards against a limit of nobody's making that stops all requests."""
+def test_other_values_are_not_limits(value):
+    """Guards against a malformed value that stops all requests."""
     assert read_rate([value]) is None
 
 
-def test_of_two_headers_the_smaller_one_holds():
+def test_the_smallest_of_several_limits_applies():
     assert read_rate([b'5', b'nonsense', b'3']) == 3
 
 
 @given(st.binary(max_size=30))
-def test_any_value_is_read_or_left(value):
+def test_any_value_is_parsed_or_ignored(value):
     rate = read_rate([value])
     assert rate is None or 0 <= rate < 1e21
 
 
 def test_an_answer_that_was_overtaken_does_not_end_a_limit():
-    """Guards against a burst between two answers that name a limit."""
-    belief = RateLimitTracker()
-    belief.record_limit(5, now=10)
-    assert not belief.record_no_limit(asked_at=9.9)
-    assert belief.rate == 5
-    assert belief.record_no_limit(asked_at=10.1)
-    assert belief.rate is None
+    """Guards against a burst between two answers that announce a limit."""
+    tracker = RateLimitTracker()
+    tracker.record_limit(5, now=10)
+    assert not tracker.record_no_limit(asked_at=9.9)
+    assert tracker.rate == 5
+    assert tracker.record_no_limit(asked_at=10.1)
+    assert tracker.rate is None
 
 
-def test_a_limit_that_is_remembered_does_not_replace_one_that_was_heard():
-    """Guards against an old limit on an upstream that has said since."""
-    belief = RateLimitTracker()
-    belief.record_no_limit(asked_at=1)
-    assert not belief.restore(3)
-    assert belief.rate is None
+def test_a_restored_limit_does_not_override_an_answer():
+    """Guards against an old limit on an upstream that has answered since."""
+    tracker = RateLimitTracker()
+    tracker.record_no_limit(asked_at=1)
+    assert not tracker.restore(3)
+    assert tracker.rate is None
 
 
-def test_a_limit_that_is_remembered_ends_with_the_first_answer_without_one():
-    belief = RateLimitTracker()
-    assert belief.restore(3)
-    assert belief.record_no_limit(asked_at=1)
+def test_a_restored_limit_ends_with_the_first_answer_without_one():
+    tracker = RateLimitTracker()
+    assert tracker.restore(3)
+    assert tracker.record_no_limit(asked_at=1)
 
 
-def test_others_are_told_of_a_change_once_a_second_at_most():
-    """Guards against news with each answer of an upstream in need."""
-    belief = RateLimitTracker()
+def test_changes_are_announced_at_most_once_a_second():
+    """Guards against an announcement for each answer with a new limit."""
+    tracker = RateLimitTracker()
     announced = 0
     for step in range(1000):
         now = step / 100
-        belief.record_limit(1 + step % 20, now)
-        announced += belief.take_update(now)
+        tracker.record_limit(1 + step % 20, now)
+        announced += tracker.take_update(now)
     assert announced <= 11
 
 
-def test_small_changes_are_not_told():
-    belief = RateLimitTracker()
-    belief.record_limit(10, 0)
-    assert belief.take_update(0)
-    belief.record_limit(11, 5)
-    assert not belief.take_update(5)
-    belief.record_limit(0, 6)
-    assert belief.take_update(6)
-
-
-def test_a_belief_is_known_once_there_is_something_to_go_by():
-    """Guards against 'no limit' from a daemon that has heard nothing."""
-    belief = RateLimitTracker()
-    assert not belief.is_known
-    assert belief.restore(3)
-    assert belief.is_known
-    heard = RateLimitTracker()
-    heard.record_no_limit(asked_at=1)
-    assert heard.is_known
+def test_small_changes_are_not_announced():
+    tracker = RateLimitTracker()
+    tracker.record_limit(10, 0)
+    assert tracker.take_update(0)
+    tracker.record_limit(11, 5)
+    assert not tracker.take_update(5)
+    tracker.record_limit(0, 6)
+    assert tracker.take_update(6)
+
+
+def test_the_limit_is_known_after_an_answer_or_a_restored_value():
+    """Guards against 'no limit' from a daemon that has seen no answer."""
+    tracker = RateLimitTracker()
+    assert not tracker.is_known
+    assert tracker.restore(3)
+    assert tracker.is_known
+    answered = RateLimitTracker()
+    answered.record_no_limit(asked_at=1)
+    assert answered.is_known
--- a/libs/policy/tests/test_members.py
+++ b/libs/policy/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Tables of members: the newest record wins, whatever the order."""
+"""Member tables keep the newest record, in any order of arrival."""
 
 from random import Random
 
@@ -31,7 +31,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(records, st.randoms(use_true_random=False))
-def test_order_and_repeats_do_not_matter(found, random):
+def test_order_and_duplicates_of_records_do_not_matter(found, random):
     one = MemberTable()
     for record in found:
         one.merge(record)
@@ -53,11 +53,11 @@
     assert table.get('a').revision == (2, 1)
 
 
-def test_a_reused_address_belongs_to_who_started_last():
-    # A VM is gone and its address goes to another one. A caller whose
-    # request is sent to the first daemon would reach the second, which runs
-    # another service; so the first has to leave the table, also when news of
-    # it come late.
+def test_a_reused_address_belongs_to_the_daemon_that_started_last():
+    # A VM terminates and its address is assigned to another one. A request for
+    # the first daemon would reach the second, which runs another service. The
+    # first daemon therefore has to leave the table, even if an update about it
+    # arrives late.
     table = MemberTable()
     table.merge(make_record('old', 1, 5, calls='10.0.0.1:1'))
     assert table.merge(make_record('new', 2, 0, calls='10.0.0.1:1'))
@@ -66,7 +66,7 @@
     assert [record.vm for record in table] == ['new']
 
 
-def test_digests_find_the_parts_that_differ():
+def test_bucket_digests_find_the_buckets_that_differ():
     random = Random(7)
     one = MemberTable()
     other = MemberTable()
--- a/libs/policy/tests/test_placement.py
+++ b/libs/policy/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: own zone first, then by expected time, around failures."""
+"""Placement of requests by zone, expected time, failures and rate limits."""
 
 from random import Random
 
@@ -27,24 +27,24 @@
     )
 
 
-def test_the_own_zone_goes_first_while_it_is_fast_enough():
+def test_the_own_zone_is_preferred_while_it_is_fast_enough():
     owners = [make_owner('near'), make_owner('far', 'b')]
     assert pick(owners).vm == 'near'
 
 
-def test_a_full_zone_spills_to_another():
+def test_an_overloaded_zone_sends_requests_to_another():
     near = make_owner('near')
     near.record_load(30, 0)
     assert pick([near, make_owner('far', 'b')]).vm == 'far'
 
 
-def test_a_zone_without_others_keeps_what_it_can():
+def test_an_overloaded_owner_is_used_if_there_is_no_other():
     near = make_owner('near')
     near.record_load(30, 0)
     assert pick([near]).vm == 'near'
 
 
-def test_a_slow_upstream_gets_less():
+def test_a_slow_upstream_gets_fewer_requests():
     slow = make_owner('slow')
     for _ in range(20):
         slow.record_service_time(0.5, 0.1)
@@ -55,13 +55,13 @@
     assert chosen.count('slow') < 5
 
 
-def test_a_failing_upstream_is_avoided_and_tried_again_later():
-    # An upstream fails half of its answers while its health is good. Callers
-    # see errors as long as it is chosen; when it has recovered, only a
-    # request can show it.
+def test_a_failing_upstream_is_avoided_and_retried_later():
+    # A grey failure: half of the requests fail while health checks pass.
+    # Callers get errors as long as it is chosen. After its recovery, only
+    # requests can show that it works again.
     grey = make_owner('grey')
-    for place in range(20):
-        grey.record_outcome(failed=place % 2 == 0)
+    for number in range(20):
+        grey.record_outcome(failed=number % 2 == 0)
     grey.record_load(0, 0)
     owners = [grey, make_owner('well')]
     soon = [pick(owners, seed=seed).vm for seed in range(50)]
@@ -70,7 +70,7 @@
     assert late.count('grey') > 5
 
 
-def test_one_out_of_reach_gets_nothing_until_its_pause_is_over():
+def test_an_unreachable_owner_gets_no_requests_during_its_backoff():
     down = make_owner('down')
     down.mark_down(0)
     assert pick([down]) is None
@@ -79,7 +79,7 @@
     assert pick([down], now=0.6) is None
 
 
-def test_load_that_was_told_long_ago_is_not_believed():
+def test_a_load_report_decays_with_its_age():
     owner = make_owner('one')
     owner.record_load(40, 0)
     assert owner.estimate_load(0.1) == 40
@@ -94,54 +94,54 @@
     return [near, far]
 
 
-def test_a_busy_zone_keeps_its_requests_while_they_come_in_time():
-    # Each zone has one upstream of a service, with most of its slots taken.
-    # Another zone always looks a little faster. Requests that leave for that
-    # carry their bytes across, and half of all requests did; their callers
-    # get nothing for it, since the answer comes in time at home as well.
+def test_a_busy_zone_keeps_its_requests_while_they_meet_their_objective():
+    # Each zone has one upstream of a service with most of its slots in use,
+    # and another zone always appears slightly faster. Half of all requests
+    # left their zone for that and caused cross-zone traffic without any
+    # benefit, since the own zone answers within the objective as well.
     assert pick(make_zone(15)).vm == 'near'
     assert pick(make_zone(24), left=0.6).vm == 'near'
 
 
-def test_a_zone_without_room_sends_out_what_travels_cheapest():
-    # The queue at home leaves an even chance to be in time. A small answer
-    # is worth the way to another zone, a large one is not yet.
+def test_an_overloaded_zone_sends_small_requests_away_first():
+    # The queue in the own zone leaves an even chance to meet the objective. A
+    # small answer is worth the transfer to another zone, a large one is not.
     owners = make_zone(50)
     assert pick(owners, left=0.3, size=1_000).vm == 'far'
     assert pick(owners, left=0.3, size=20_000).vm == 'near'
 
 
-def test_nobody_is_left_without_an_answer_to_save_bytes():
+def test_saving_bytes_does_not_leave_a_caller_without_an_answer():
     owners = make_zone(150)
     assert pick(owners, left=0.5, size=500_000).vm == 'far'
 
 
-def test_one_failure_of_a_good_upstream_sends_nobody_away():
-    # A good upstream fails one request in a hundred. With the belief moved
-    # far by each failure, the next seconds' requests leave their zone, each
-    # time, and carry their bytes across for nothing.
+def test_a_single_failure_of_a_good_upstream_diverts_no_requests():
+    # A good upstream fails one request in a hundred. If each failure changed
+    # the estimate by much, the requests of the next seconds would leave the
+    # zone each time and cause cross-zone traffic without any benefit.
     near = make_owner('near')
     near.record_outcome(failed=True)
     near.record_load(3, 0)
     assert pick([near, make_owner('far', 'b')], left=0.5).vm == 'near'
 
 
-def test_an_upstream_that_fails_half_loses_its_zone_within_a_second():
-    # A daemon sends some ten requests a second to the upstream of its zone.
+def test_an_upstream_that_fails_half_is_avoided_within_a_second():
+    # A daemon sends about ten requests a second to the upstream of its zone.
     near = make_owner('near')
-    for place in range(10):
-        near.record_outcome(failed=place % 2 == 0)
+    for number in range(10):
+        near.record_outcome(failed=number % 2 == 0)
     near.record_load(3, 0)
     assert pick([near, make_owner('far', 'b')], left=0.5).vm == 'far'
 
 
-def limit(owner, pause, *, priority=0, now=1.0):
-    """Tell of a request that its limit had no room for."""
-    owner.record_limit_result(priority, pause, now, taken=True)
+def limit(owner, wait, *, priority=0, now=1.0):
+    """Record that the owner's rate limit requires a wait."""
+    owner.record_limit_result(priority, wait, now, taken=True)
 
 
-def test_an_owner_at_its_limit_is_left_alone_until_it_has_room():
-    """Guards against hops to an upstream that cannot take a request."""
+def test_an_owner_at_its_limit_gets_no_requests_until_it_has_room():
+    """Guards against requests that are sent to an upstream at its limit."""
     limited = make_owner('limited')
     limit(limited, 4.0)
     far = make_owner('far', 'b')
@@ -149,19 +149,21 @@
     assert pick([limited, far], now=5).vm == 'limited'
 
 
-def test_no_owner_is_chosen_where_limits_have_no_room_in_time():
-    """Guards against callers that wait for what cannot come."""
+def test_no_owner_is_chosen_if_no_limit_has_room_in_time():
+    """Guards against callers that wait for an answer in vain."""
     owners = [make_owner('one'), make_owner('other', 'b')]
     limit(owners[0], 1.0)
     limit(owners[1], 2.0)
     assert pick(owners, now=1) is None
-    wish = PlacementRequest(mean_time=0.1, time_to_objective=0.3)
-    assert find_limit_wait(owners, wish, excluded=(), now=1) == 1
-    assert find_limit_wait(owners, wish, excluded={'one'}, now=1) == 2
-    assert find_limit_wait([make_owner('free')], wish, excluded=(), now=1) == 0
+    request = PlacementRequest(mean_time=0.1, time_to_objective=0.3)
+    assert find_limit_wait(owners, request, excluded=(), now=1) == 1
+    assert find_limit_wait(owners, request, excluded={'one'}, now=1) == 2
+    assert (
+        find_limit_wait([make_owner('free')], request, excluded=(), now=1) == 0
+    )
 
 
-def test_what_is_more_urgent_is_not_held_up_by_what_was_told_to_others():
+def test_a_limit_reported_for_low_priorities_does_not_delay_urgent_requests():
     limited = make_owner('limited')
     limit(limited, 4.0, priority=2)
     assert limited.limit_ready_at(2) == 5
@@ -169,7 +171,7 @@
     assert limited.limit_ready_at(1) < 0
 
 
-def test_a_limit_that_ends_holds_nobody_up():
+def test_a_limit_that_ends_delays_no_requests():
     limited = make_owner('limited')
     limit(limited, 4.0)
     limited.clear_limit()
--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Who is suspected of crashes, who is blocked, and for how long."""
+"""Suspicion, isolation and blocking of requests under which upstreams crash."""
 
 import msgspec
 from hypothesis import given, settings
@@ -63,10 +63,10 @@
     return compute_fingerprint(**(parts | changed))
 
 
-def test_a_fingerprint_tells_requests_apart_by_all_that_upstreams_see():
-    # Harmless requests on the same path, of another caller or with another
-    # body, must not share the fate of a deadly one.
-    known = {
+def test_a_fingerprint_covers_everything_that_an_upstream_receives():
+    # Harmless requests on the same path, from another caller or with another
+    # body, must not be blocked together with a deadly one.
+    distinct = {
         fingerprint_of(),
         fingerprint_of(method=b'POST'),
         fingerprint_of(host=b'other.example'),
@@ -75,19 +75,19 @@
         fingerprint_of(body=b'x'),
         fingerprint_of(target=b'/lookup/', caller=b'1entries'),
     }
-    assert len(known) == 7
+    assert len(distinct) == 7
     assert fingerprint_of(host=b'SHOP.example') == fingerprint_of()
 
 
-def test_a_request_is_blocked_after_three_crashes_and_a_moment():
+def test_a_request_is_blocked_after_three_crashes_and_the_hold_time():
     """Guards against a query of death that reaches a fourth upstream."""
     quarantine = Quarantine()
     assert quarantine.is_idle
-    found = []
+    statuses = []
     for crash, alone in (('a/1', False), ('b/1', False), ('c/1', True)):
         record_crash(quarantine, crash, alone=alone)
-        found.append(find_status(quarantine, now=10.1))
-    assert found == [
+        statuses.append(find_status(quarantine, now=10.1))
+    assert statuses == [
         QuarantineStatus.SUSPECTED,
         QuarantineStatus.ISOLATED,
         QuarantineStatus.HELD,
@@ -97,15 +97,15 @@
     )
 
 
-def test_a_request_that_flew_along_with_a_deadly_one_is_not_blocked():
-    """Guards against blocking what was in hand at another's crashes."""
+def test_a_request_in_flight_with_a_deadly_one_is_not_blocked():
+    """Guards against blocking requests that were in flight at its crashes."""
     quarantine = Quarantine()
     for crash in ('a/1', 'b/1', 'c/1'):
         record_crash(quarantine, crash)
         record_crash(quarantine, crash, fingerprint=DEADLY)
     assert find_status(quarantine) is QuarantineStatus.ISOLATED
     assert find_status(quarantine, DEADLY) is QuarantineStatus.ISOLATED
-    # Alone in the run, but beside the deadly one in the upstream.
+    # The run is isolated, but the upstream runs the deadly request as well.
     record_crash(quarantine, 'd/1', alone=True)
     record_crash(quarantine, 'd/1', 'e/1', fingerprint=DEADLY, alone=True)
     assert find_status(quarantine) is QuarantineStatus.ISOLATED
@@ -114,15 +114,15 @@
     assert find_status(quarantine) is QuarantineStatus.BLOCKED
 
 
-def test_one_crash_counts_once_however_many_copies_it_broke():
+def test_one_crash_counts_once_for_any_number_of_copies():
     quarantine = Quarantine()
     record_crash(quarantine, *('a/1' for _ in range(14)))
     assert find_status(quarantine) is QuarantineStatus.SUSPECTED
     assert quarantine.may_retry(FP)
 
 
-def test_a_request_that_completes_is_innocent():
-    """Guards against refusing a popular request for others' crashes."""
+def test_a_request_that_completes_is_cleared():
+    """Guards against blocking a popular request for crashes of others."""
     quarantine = Quarantine()
     block(quarantine)
     quarantine.mark_shared(FP)
@@ -133,15 +133,15 @@
     assert find_status(quarantine) is QuarantineStatus.SUSPECTED
 
 
-def test_a_suspicion_that_nobody_heard_of_leaves_no_trace():
+def test_a_suspicion_that_was_not_shared_is_removed_when_cleared():
     quarantine = Quarantine()
     record_crash(quarantine, 'a/1')
     assert not quarantine.record_completion(FP, **CLOCKS)
     assert not len(quarantine)
 
 
-def test_a_block_ends_with_one_run_and_grows_when_that_crashes():
-    """Guards against a block for ever, and against many tries after it."""
+def test_a_block_ends_with_one_run_and_is_longer_after_its_crash():
+    """Guards against a permanent block, and against many runs after it."""
     quarantine = Quarantine()
     block(quarantine)
     end = 1000 + BLOCK_TIME
@@ -161,7 +161,7 @@
     assert len(record.crashes) == MAX_CRASHES
 
 
-def test_daemons_do_not_all_try_at_the_same_time():
+def test_daemons_do_not_all_retry_at_the_same_time():
     first, last = Quarantine(block_jitter=0), Quarantine(block_jitter=0.5)
     for quarantine in (first, last):
         block(quarantine)
@@ -170,7 +170,7 @@
     assert find_status(last, wall=wall) is QuarantineStatus.BLOCKED
 
 
-def test_a_clock_that_jumps_by_seconds_neither_blocks_nor_frees():
+def test_a_clock_that_jumps_by_seconds_does_not_end_a_block():
     quarantine = Quarantine()
     block(quarantine)
     for jump in (-30, 30):
@@ -180,7 +180,7 @@
         )
 
 
-def test_old_suspicions_are_forgotten_and_blocks_are_not():
+def test_suspicions_expire_earlier_than_blocks():
     quarantine = Quarantine()
     record_crash(quarantine, 'a/1')
     block(quarantine, fingerprint=DEADLY)
@@ -191,7 +191,7 @@
     assert quarantine.is_idle
 
 
-def test_a_flood_of_suspects_does_not_drive_out_a_block():
+def test_many_suspects_do_not_evict_a_block():
     """Guards against a caller with a million bodies that crash upstreams."""
     quarantine = Quarantine()
     block(quarantine)
@@ -204,7 +204,7 @@
     assert find_status(quarantine) is QuarantineStatus.BLOCKED
 
 
-def test_what_another_program_wrote_is_not_taken_in():
+def test_invalid_records_are_not_merged():
     quarantine = Quarantine()
     names = tuple(f'c{number}' for number in range(MAX_CRASHES + 1))
     for record in (
@@ -237,8 +237,8 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(records, max_size=8), st.randoms(use_true_random=False))
-def test_records_may_come_in_any_order_and_again(found, random):
-    """Guards against daemons that stay of different minds."""
+def test_records_merge_in_any_order_and_more_than_once(found, random):
+    """Guards against daemons whose records never converge."""
     one, other = Quarantine(), Quarantine()
     for record in found:
         one.merge(record, now=0)
@@ -253,7 +253,7 @@
 
 @settings(derandomize=True, max_examples=100)
 @given(st.lists(records, max_size=4), records)
-def test_who_lacks_something_is_told(found, record):
+def test_the_merge_result_shows_which_side_lacks_something(found, record):
     quarantine = Quarantine()
     for each in found:
         quarantine.merge(each, now=0)
--- a/libs/policy/tests/test_rollouts.py
+++ b/libs/policy/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Moves: shares, merges and decisions on good and bad versions."""
+"""Moves: traffic shares, merged progress and decisions on versions."""
 
 from random import Random
 
@@ -33,20 +33,20 @@
 
 @settings(derandomize=True, deadline=None)
 @given(progresses, progresses, progresses)
-def test_progress_merges_in_any_order(one, other, third):
+def test_the_merge_of_progress_is_a_join(one, other, third):
     assert merge_progress(one, other) == merge_progress(other, one)
     left = merge_progress(merge_progress(one, other), third)
     assert left == merge_progress(one, merge_progress(other, third))
     assert merge_progress(one, one) == one
 
 
-def test_a_veto_wins_over_every_stage():
+def test_a_veto_overrides_every_stage():
     vetoed = Progress('s', 7, 1, vetoed=True)
     merged = merge_progress(Progress('s', 7, LAST_STAGE), vetoed)
     assert find_shares(ORDER, None, merged).share == 0
 
 
-def test_an_order_without_a_stage_gives_the_new_version_nothing():
+def test_an_order_without_progress_gives_the_new_version_no_requests():
     shares = find_shares(ORDER, None, None)
     assert not shares.allows('v2')
     assert shares.allows('v1')
@@ -56,13 +56,13 @@
     ('verdict', 'share'),
     [(Verdict.DONE, 1), (Verdict.TAKEN_BACK, 0)],
 )
-def test_a_verdict_needs_nothing_else(verdict, share):
+def test_a_verdict_determines_the_share_by_itself(verdict, share):
     settled = SettledOrder(order=7, service='s', target='v2', verdict=verdict)
     assert find_shares(None, settled, None).share == share
     assert find_shares(ORDER, settled, None).share == share
 
 
-def test_an_old_verdict_says_nothing_of_a_new_order():
+def test_an_old_verdict_does_not_apply_to_a_new_order():
     settled = SettledOrder(
         order=3,
         service='s',
@@ -73,14 +73,14 @@
     assert find_shares(ORDER, settled, progress).share == 1
 
 
-def test_the_share_is_spread_evenly():
+def test_the_share_is_distributed_evenly():
     counter = VersionCounter()
     hits = [counter.wants_target('s', 0.1) for _ in range(100)]
     assert sum(hits) == 10
 
 
-class World:
-    """Owners of both versions, with errors and times as they are told."""
+class Fleet:
+    """Owners of several versions, with the counts that they report."""
 
     def __init__(self, *, seed, speeds=(0.7, 1, 1.5)):
         self.random = Random(seed)
@@ -121,29 +121,30 @@
         ]
 
 
-def play(world, *, per_step, at, lost=0, beside=None):
-    """Steps of 0.1 s; returns the moment of the veto, or ``None``.
+def simulate(fleet, *, per_step, at, lost=0, other=None):
+    """Simulate steps of 0.1 s; returns the time of the veto, or ``None``.
 
-    :param lost: share of the old version's requests that crashes take.
-    :param beside: how another old version serves, which gets as many.
+    :param at: behaviour of the new version as a function of the time.
+    :param lost: share of the old version's requests that are lost in crashes.
+    :param other: behaviour of another old version with as many requests.
     """
     evidence = Evidence('v2')
     for step in range(100):
-        moment = step / 10
-        world.serve('v1', per_step * 9, failing=0.01, lost=lost)
-        world.serve('v2', per_step, **at(moment))
-        if beside is not None:
-            world.serve('v3', per_step * 9, **beside)
-        evidence.update(world.tallies())
+        now = step / 10
+        fleet.serve('v1', per_step * 9, failing=0.01, lost=lost)
+        fleet.serve('v2', per_step, **at(now))
+        if other is not None:
+            fleet.serve('v3', per_step * 9, **other)
+        evidence.update(fleet.tallies())
         if evidence.finding().is_conclusive:
-            return moment
+            return now
     return None
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_good_version_is_left_alone(seed):
+def test_a_good_version_is_not_vetoed(seed):
     assert (
-        play(World(seed=seed), per_step=3, at=lambda _: {'failing': 0.01})
+        simulate(Fleet(seed=seed), per_step=3, at=lambda _: {'failing': 0.01})
         is None
     )
 
@@ -158,15 +159,15 @@
         {'failing': 0, 'lost': 0.5},
     ],
 )
-def test_a_bad_version_is_found_within_seconds(bad, seed):
-    assert play(World(seed=seed), per_step=2, at=lambda _: bad) < 3
+def test_a_bad_version_is_detected_within_seconds(bad, seed):
+    assert simulate(Fleet(seed=seed), per_step=2, at=lambda _: bad) < 3
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_bad_version_is_found_while_upstreams_crash(seed):
-    """Guards against crashes that pass for usual failures of a version."""
-    found = play(
-        World(seed=seed),
+def test_a_bad_version_is_detected_while_upstreams_crash(seed):
+    """Guards against crashes that count as normal failures of a version."""
+    found = simulate(
+        Fleet(seed=seed),
         per_step=2,
         at=lambda _: {'failing': 0.5},
         lost=0.3,
@@ -179,31 +180,31 @@
     'bad',
     [{'failing': 0.5}, {'failing': 0, 'slower': 6}],
 )
-def test_a_bad_version_is_found_beside_another_bad_one(bad, seed):
-    """Guards against a replaced move whose version passes for a sound one."""
-    found = play(World(seed=seed), per_step=2, at=lambda _: bad, beside=bad)
+def test_a_bad_version_is_detected_next_to_another_bad_one(bad, seed):
+    """Guards against a replaced move whose bad version is the baseline."""
+    found = simulate(Fleet(seed=seed), per_step=2, at=lambda _: bad, other=bad)
     assert found < 3
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_good_version_beside_two_old_ones_is_left_alone(seed):
-    """Guards against a comparison with whoever was lucky."""
+def test_a_good_version_is_not_vetoed_next_to_two_old_ones(seed):
+    """Guards against a comparison with the luckiest of several versions."""
     usual = {'failing': 0.01, 'lost': 0.1}
-    found = play(
-        World(seed=seed),
+    found = simulate(
+        Fleet(seed=seed),
         per_step=3,
         at=lambda _: usual,
-        beside=usual,
+        other=usual,
         lost=0.1,
     )
     assert found is None
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_good_version_among_crashes_is_left_alone(seed):
-    """Guards against a version that is condemned for the crashes of all."""
-    found = play(
-        World(seed=seed),
+def test_a_good_version_is_not_vetoed_while_upstreams_crash(seed):
+    """Guards against a veto for crashes that affect all versions."""
+    found = simulate(
+        Fleet(seed=seed),
         per_step=3,
         at=lambda _: {'failing': 0.01, 'lost': 0.3},
         lost=0.3,
@@ -212,106 +213,112 @@
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_version_that_turns_bad_late_is_found_as_soon(seed):
-    found = play(
-        World(seed=seed),
+def test_a_version_that_turns_bad_late_is_detected_as_soon(seed):
+    found = simulate(
+        Fleet(seed=seed),
         per_step=3,
-        at=lambda moment: {'failing': 0.5 if moment > 6 else 0.01},
+        at=lambda now: {'failing': 0.5 if now > 6 else 0.01},
     )
     assert 6 < found < 8
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_version_that_is_slow_at_times_is_found_in_small_stages(seed):
-    # The new version answers half of its requests eight times slower, the
-    # others as usual: their mean is hardly above what a good version may
-    # have. Of 220 requests a second the canary gets 44 and the next stage 40
-    # more; let on to the large stages, the version gets all and fills up.
-    world = World(seed=seed)
+def test_a_version_that_is_sometimes_slow_is_detected_in_small_stages(seed):
+    # The new version answers half of its requests eight times slower and the
+    # others as usual, so its mean is hardly above that of a good version. Of
+    # 220 requests a second the canary gets 44 and the next stage 40 more. If
+    # the version reached the large stages, it would get all requests and be
+    # overloaded.
+    fleet = Fleet(seed=seed)
     evidence = Evidence('v2')
     for _ in range(84):
-        world.serve('v1', 30, failing=0.01)
-        world.serve('v2', 1, failing=0.01, slower=8, share=0.5)
-        evidence.update(world.tallies())
+        fleet.serve('v1', 30, failing=0.01)
+        fleet.serve('v2', 1, failing=0.01, slower=8, share=0.5)
+        evidence.update(fleet.tallies())
         if evidence.finding().is_conclusive:
             return
     raise AssertionError(evidence.finding())
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_a_good_version_under_all_requests_is_not_called_slow(seed):
-    # With all slots taken, upstreams answer up to 1.5 times slower, and the
-    # old version, which gets little, does not.
-    world = World(seed=seed, speeds=(0.7, 0.7, 1.4))
+def test_a_good_version_with_all_requests_is_not_considered_slow(seed):
+    # With all slots in use, upstreams answer up to 1.5 times slower. The old
+    # version, which gets few requests, does not slow down.
+    fleet = Fleet(seed=seed, speeds=(0.7, 0.7, 1.4))
     evidence = Evidence('v2')
     for _ in range(100):
-        world.serve('v1', 2, failing=0.01)
-        world.serve('v2', 30, failing=0.01, slower=1.5)
-        evidence.update(world.tallies())
+        fleet.serve('v1', 2, failing=0.01)
+        fleet.serve('v2', 30, failing=0.01, slower=1.5)
+        evidence.update(fleet.tallies())
         assert not evidence.finding().is_conclusive
 
 
-def test_one_sick_upstream_does_not_condemn_its_version():
-    # One VM of the new version is broken and fails half of its requests; the
-    # other two are well. Callers are served by those once the sick one is
-    # avoided, so the move must go on.
-    world = World(seed=3)
+def test_one_faulty_upstream_does_not_condemn_its_version():
+    # One VM of the new version is faulty and fails half of its requests, and
+    # the other two work. These serve the callers once the faulty one is
+    # avoided, so the move must continue.
+    fleet = Fleet(seed=3)
     evidence = Evidence('v2')
     for _ in range(30):
-        world.serve('v1', 20, failing=0.01)
-        counts, _ = world.owners['v2', 0]
+        fleet.serve('v1', 20, failing=0.01)
+        counts, _ = fleet.owners['v2', 0]
         counts.add('r', failed=True, took=None)
         for place in (1, 2):
-            counts, _ = world.owners['v2', place]
+            counts, _ = fleet.owners['v2', place]
             for _ in range(3):
                 counts.add('r', failed=False, took=0.1)
-        evidence.update(world.tallies())
+        evidence.update(fleet.tallies())
     assert not evidence.finding().is_conclusive
 
 
-def serve_alone(counts, evidence, world, *, steps, per_step):
-    """One owner of the new version fails half; returns how many were served."""
+def serve_alone(counts, evidence, fleet, *, steps, per_step):
+    """One owner of the new version fails half of its requests.
+
+    :returns: number of requests until the finding is conclusive, or ``None``.
+    """
     for number in range(steps * per_step):
         counts.add('r', failed=bool(number % 2), took=None)
         if number % per_step:
             continue
-        world.serve('v1', 20, failing=0.01)
-        evidence.update(world.tallies())
+        fleet.serve('v1', 20, failing=0.01)
+        evidence.update(fleet.tallies())
         if evidence.finding().is_conclusive:
             return number
     return None
 
 
 def test_a_bad_version_is_found_by_the_one_owner_that_is_left():
-    """Guards against an owner that has stopped and vouches for its version."""
-    world = World(seed=3)
+    """Guards against a stopped owner that counts in favour of its version."""
+    fleet = Fleet(seed=3)
     evidence = Evidence('v2')
     for place in (0, 1):
-        counts, _ = world.owners['v2', place]
+        counts, _ = fleet.owners['v2', place]
         for _ in range(3):
             counts.add('r', failed=False, took=0.1)
-    evidence.update(world.tallies())
-    left, _ = world.owners['v2', 0]
-    assert serve_alone(left, evidence, world, steps=30, per_step=1)
+    evidence.update(fleet.tallies())
+    left, _ = fleet.owners['v2', 0]
+    assert serve_alone(left, evidence, fleet, steps=30, per_step=1)
 
 
 @pytest.mark.parametrize('others', [1, 5])
-def test_one_sick_upstream_with_most_of_the_calls_does_not_condemn(others):
-    """Guards against a zone with most callers that decides for all."""
-    world = World(seed=3)
+def test_one_faulty_upstream_with_most_calls_does_not_condemn_its_version(
+    others,
+):
+    """Guards against a single zone with most callers that decides alone."""
+    fleet = Fleet(seed=3)
     evidence = Evidence('v2')
-    sick, _ = world.owners['v2', 0]
-    well, _ = world.owners['v2', 1]
+    faulty, _ = fleet.owners['v2', 0]
+    healthy, _ = fleet.owners['v2', 1]
     for step in range(100):
-        world.serve('v1', 20, failing=0.01)
-        sick.add('r', failed=bool(step % 2), took=None)
+        fleet.serve('v1', 20, failing=0.01)
+        faulty.add('r', failed=bool(step % 2), took=None)
         if step % 10 < others:
-            well.add('r', failed=False, took=0.1)
-        evidence.update(world.tallies())
+            healthy.add('r', failed=False, took=0.1)
+        evidence.update(fleet.tallies())
         assert not evidence.finding().is_conclusive
 
 
-def situation(elapsed, stage, evidence, **more):
+def make_context(elapsed, stage, evidence, **more):
     return MoveContext(
         window=14,
         elapsed=elapsed,
@@ -328,7 +335,7 @@
     stage = 0
     elapsed = 0
     while elapsed < 14:
-        decision = decide(situation(elapsed, stage, evidence))
+        decision = decide(make_context(elapsed, stage, evidence))
         if decision.done:
             break
         stage = decision.stage
@@ -337,17 +344,18 @@
     assert elapsed < 13
 
 
-def test_a_version_that_never_shows_is_given_up():
+def test_a_version_that_never_becomes_ready_is_given_up():
     evidence = Evidence('v2')
-    early = decide(situation(1, 0, evidence, target_ready=False))
-    late = decide(situation(13.9, 0, evidence, target_ready=False))
+    early = decide(make_context(1, 0, evidence, target_ready=False))
+    late = decide(make_context(13.9, 0, evidence, target_ready=False))
     assert not early.veto
     assert late.veto
 
 
-def test_stages_keep_the_exposure_bound_until_the_large_one():
-    # A version that is bad under load only shows in a large stage. What it
-    # got before has to leave room below a tenth of the window's requests.
+def test_early_stages_keep_the_exposure_below_its_bound():
+    # A version that is bad under load is detected only in a large stage. The
+    # requests that it gets before have to leave room below a tenth of the
+    # window's requests.
     before = sum(
         stage.share * (following.begins - stage.begins)
         for stage, following in zip(STAGES[:-2], STAGES[1:], strict=False)
--- a/libs/policy/tests/test_routes.py
+++ b/libs/policy/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Longest prefix by host, and splits that keep their weights."""
+"""Longest prefix match by host, and splits by weight."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -58,7 +58,7 @@
     assert find(table, b'c.example', b'/a/') is None
 
 
-def test_a_prefix_is_matched_with_its_last_slash_only():
+def test_a_prefix_matches_only_with_its_last_slash():
     table = make_table(make_route('one', '/a/'))
     assert find(table, b'a.example', b'/a') is None
     assert find(table, b'a.example', b'/ab') is None
@@ -72,19 +72,19 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.sets(paths, min_size=1), paths, st.sampled_from(('', 'x', 'a')))
-def test_the_table_finds_what_a_plain_search_finds(prefixes, path, last):
+def test_the_table_agrees_with_a_linear_search(prefixes, path, last):
     table = make_table(*(make_route(each, each) for each in prefixes))
     target = path + last
-    fitting = [each for each in prefixes if target.startswith(each)]
-    expected = max(fitting, key=len) if fitting else None
+    matching = [each for each in prefixes if target.startswith(each)]
+    expected = max(matching, key=len) if matching else None
     assert find(table, b'a.example', target.encode()) == expected
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(1, 100), min_size=2, max_size=4))
-def test_each_part_of_a_split_stays_within_one_request_of_its_weight(weights):
+def test_each_service_of_a_split_stays_close_to_its_weight(weights):
     splits = tuple(
-        Split(f's{place}', weight) for place, weight in enumerate(weights)
+        Split(f's{index}', weight) for index, weight in enumerate(weights)
     )
     route = make_route('one', '/', splits=splits)
     counter = SplitCounter()
