--- a/libs/model/src/verbenamill_model/__init__.py
+++ b/libs/model/src/verbenamill_model/__init__.py
@@ -1,4 +1,4 @@
-"""Identifiers, tickets, snapshots and the pure acceptance of configuration."""
+"""Identifiers, tickets, snapshots and the acceptance of configuration."""
 
 from verbenamill_model.accept import (
     Answer,
--- a/libs/model/src/verbenamill_model/accept.py
+++ b/libs/model/src/verbenamill_model/accept.py
@@ -1,7 +1,7 @@
-"""Acceptance: a pure function of the state and the record at an offset.
+"""Acceptance of log records, as a pure function of the state and the record.
 
-Every reader of the same prefix of the log reaches the same state and the
-same answers, so the log's order is the only agreement that is needed.
+Every reader of the same prefix of the log reaches the same state and the same
+answers, so the order of the log is the only coordination that is needed.
 """
 
 from msgspec import Struct
@@ -40,33 +40,35 @@
     VerdictKind,
 )
 
-#: Tickets whose digests are kept to tell a repeat from a clash.
+#: Maximum number of tickets whose digests are kept. They distinguish a
+#: repeated ticket from a different one with the same number.
 MAX_DIGESTS = 4096
-#: Outcomes kept in the state for operators; older ones are on the log.
+#: Maximum number of verdicts, refusals and audit entries that the state keeps
+#: for operators. Older ones can be read from the log.
 MAX_HISTORY = 256
 
 
 class Applied(Struct, frozen=True, kw_only=True):
-    """The record took effect and made a new snapshot."""
+    """The record was applied and created a new snapshot."""
 
     version: ConfigVersion
 
 
 class Duplicate(Struct, frozen=True, kw_only=True):
-    """The record says what an earlier one said; nothing changed."""
+    """The record repeats an earlier one and changed nothing."""
 
 
 Answer = Applied | Duplicate | Refusal
 
 
 def accept(state: State, entry: Entry) -> tuple[State, Answer]:
-    """Fold one record into a state.
+    """Apply one record to a state.
 
-    :param state: the state before; it is not altered.
+    :param state: state before the record; it is not modified.
     :param entry: the record at the next offset.
-    :returns: the state after, and what became of the record.
+    :returns: the state after the record, and the result of the record.
     """
-    assert entry.offset > state.offset, 'a state never goes back'
+    assert entry.offset > state.offset, 'the offset of a state only increases'
     after, answer = _accept(replace(state, offset=entry.offset), entry)
     digest = chain_digest(state, after, entry)
     return replace(after, digest=digest), answer
@@ -116,11 +118,11 @@
     ticket = record.ticket
     digest = digest_ticket(ticket)
     if state.digests.get(ticket.number) == digest:
-        # A lost answer makes an operator publish again: the symptom would
-        # be a change refused that is in force. Same content is enough to
-        # know it for the same change.
+        # An operator whose answer was lost publishes again, and a refusal
+        # would be misleading since the change is in force. A ticket with the
+        # same content is considered the same change.
         return state, Duplicate()
-    fault = _find_clash(state, ticket) or find_fault(
+    fault = _find_conflict(state, ticket) or find_fault(
         state.snapshot,
         ticket,
         entry.at,
@@ -130,7 +132,7 @@
     return _apply_ticket(state, entry, ticket, digest)
 
 
-def _find_clash(state: State, ticket: Ticket) -> str | None:
+def _find_conflict(state: State, ticket: Ticket) -> str | None:
     if ticket.number in state.digests:
         return (
             f'number {ticket.number} was published with other content; '
@@ -142,10 +144,10 @@
             'remembered; take a higher number'
         )
     for resource in touched_resources(ticket):
-        in_force = state.numbers.get(resource)
-        if in_force is not None and in_force >= ticket.number:
+        current = state.numbers.get(resource)
+        if current is not None and current >= ticket.number:
             return (
-                f'{resource} is at ticket {in_force}, newer than '
+                f'{resource} is at ticket {current}, newer than '
                 f'{ticket.number}; look at it and take a higher number'
             )
     return None
@@ -160,7 +162,7 @@
     ended = end_moves(state.snapshot, ticket, entry)
     snapshot = apply_ticket(state.snapshot, ticket, entry)
     numbers = dict.fromkeys(touched_resources(ticket), ticket.number)
-    line = AuditEntry(
+    audit_entry = AuditEntry(
         offset=entry.offset,
         at=entry.at,
         author=ticket.author,
@@ -172,26 +174,26 @@
         snapshot=snapshot,
         numbers=state.numbers | numbers,
         verdicts=(*state.verdicts, *ended)[-MAX_HISTORY:],
-        audit=(*state.audit, line)[-MAX_HISTORY:],
+        audit=(*state.audit, audit_entry)[-MAX_HISTORY:],
     )
-    remembered = _remember(changed, ticket.number, digest)
-    return remembered, Applied(version=snapshot.version)
+    after = _remember_digest(changed, ticket.number, digest)
+    return after, Applied(version=snapshot.version)
 
 
-def _remember(state: State, number: TicketNumber, digest: str) -> State:
+def _remember_digest(state: State, number: TicketNumber, digest: str) -> State:
     digests = state.digests | {number: digest}
     if len(digests) <= MAX_DIGESTS:
         return replace(state, digests=digests)
-    # Memory has to be bounded; a number at or below the floor is refused,
-    # so a forgotten ticket can never be applied a second time.
+    # The number of digests is bounded. A number at or below the floor is
+    # refused, so that a ticket without a digest is never applied again.
     lowest = min(digests)
     digests.pop(lowest)
-    # A resource whose number is at or below the floor needs no mark of its
-    # own any more; kept, those of removed ones would grow without bound.
+    # A resource whose number is at or below the floor needs no entry of its
+    # own, and the entries of removed resources would grow without bound.
     numbers = {
-        resource: in_force
-        for resource, in_force in state.numbers.items()
-        if in_force > lowest
+        resource: last_number
+        for resource, last_number in state.numbers.items()
+        if last_number > lowest
     }
     return replace(state, digests=digests, floor=lowest, numbers=numbers)
 
@@ -203,8 +205,8 @@
 ) -> tuple[State, Answer]:
     known = state.snapshot.services.get(record.service)
     if known is None or known.move is None or known.move.id != record.move:
-        # The verdict at the lowest offset has counted already. Two deciders,
-        # or one that woke from a pause, write more; they change nothing.
+        # The verdict at the lowest offset counts. Further verdicts, written by
+        # a second decider or by one that was paused, change nothing.
         return state, Duplicate()
     if record.kind not in {VerdictKind.DONE, VerdictKind.TAKEN_BACK}:
         return _refuse(
@@ -222,8 +224,8 @@
     known: ServiceState,
     move: Move,
 ) -> tuple[State, Answer]:
-    running = move.new if record.kind is VerdictKind.DONE else move.old
-    settled = replace(known, version=running, move=None)
+    version = move.new if record.kind is VerdictKind.DONE else move.old
+    settled = replace(known, version=version, move=None)
     snapshot = replace(
         state.snapshot,
         version=ConfigVersion(entry.offset),
@@ -238,7 +240,7 @@
         decided_by=record.decided_by,
         reason=record.reason,
     )
-    line = AuditEntry(
+    audit_entry = AuditEntry(
         offset=entry.offset,
         at=entry.at,
         author=record.decided_by,
@@ -249,13 +251,13 @@
         state,
         snapshot=snapshot,
         verdicts=(*state.verdicts, verdict)[-MAX_HISTORY:],
-        audit=(*state.audit, line)[-MAX_HISTORY:],
+        audit=(*state.audit, audit_entry)[-MAX_HISTORY:],
     )
     return changed, Applied(version=snapshot.version)
 
 
 def fold(state: State, entries: tuple[Entry, ...]) -> Result[State, str]:
-    """Fold consecutive records; a gap in their offsets is refused."""
+    """Apply consecutive records; a gap in their offsets is an error."""
     for entry in entries:
         if entry.offset != state.offset + 1:
             return Failure(
--- a/libs/model/src/verbenamill_model/applying.py
+++ b/libs/model/src/verbenamill_model/applying.py
@@ -1,4 +1,4 @@
-"""What an accepted ticket makes of a snapshot."""
+"""Application of an accepted ticket to a snapshot."""
 
 from typing import TypeVar
 
@@ -20,10 +20,10 @@
 
 
 def apply_ticket(before: Snapshot, ticket: Ticket, entry: Entry) -> Snapshot:
-    """Make the next snapshot.
+    """Create the next snapshot.
 
-    :param ticket: has passed all checks against the snapshot before.
-    :param entry: the record that carries it.
+    :param ticket: ticket that has passed all checks against ``before``.
+    :param entry: the record with the ticket.
     """
     snapshot = Snapshot(
         version=ConfigVersion(entry.offset),
@@ -35,7 +35,7 @@
 
 
 def touched_resources(ticket: Ticket) -> tuple[str, ...]:
-    """Keys of the resources that a ticket gives a new state."""
+    """Keys of the resources whose state a ticket changes."""
     return (
         *(f'service:{service.name}' for service in ticket.services),
         *(f'service:{name}' for name in ticket.remove_services),
@@ -46,7 +46,7 @@
 
 
 def describe(ticket: Ticket) -> str:
-    """Say in a line what a ticket changes, for the audit trail."""
+    """Summarise the changes of a ticket in one line, for the audit trail."""
     services = ', '.join(
         f'service {service.name} at {service.version}'
         for service in ticket.services
@@ -122,10 +122,10 @@
 
 
 def _sort(resources: dict[_Name, _Resource]) -> dict[_Name, _Resource]:
-    """Order by name, as a state that was read from a checkpoint is.
+    """Sort by name, as in a state that was restored from a checkpoint.
 
-    The order shows in the reason of a refusal and in the order of verdicts;
-    readers that started differently would part in these.
+    The order affects the reason of a refusal and the order of verdicts. Without
+    sorting, readers that started from a checkpoint would differ in these.
     """
     return dict(sorted(resources.items()))
 
@@ -135,31 +135,33 @@
     ticket: Ticket,
     entry: Entry,
 ) -> tuple[Verdict, ...]:
-    """Verdicts of the moves that a ticket ends by touching their service."""
-    endings = {
+    """Verdicts of the moves that a ticket ends by changing their service."""
+    verdict_kinds = {
         service.name: VerdictKind.SUPERSEDED for service in ticket.services
     }
-    endings |= dict.fromkeys(ticket.remove_services, VerdictKind.SUPERSEDED)
-    endings |= dict.fromkeys(ticket.aborts, VerdictKind.ABORTED)
+    verdict_kinds |= dict.fromkeys(
+        ticket.remove_services, VerdictKind.SUPERSEDED
+    )
+    verdict_kinds |= dict.fromkeys(ticket.aborts, VerdictKind.ABORTED)
     return tuple(
         Verdict(
             move=known.move,
-            kind=endings[name],
+            kind=verdict_kinds[name],
             at=entry.at,
             offset=entry.offset,
             decided_by=ticket.author,
             reason=f'ticket {ticket.number}',
         )
         for name, known in before.services.items()
-        if known.move is not None and name in endings
+        if known.move is not None and name in verdict_kinds
     )
 
 
 def assert_consistent(snapshot: Snapshot) -> None:
-    """Stop the process when a route points at a service that is missing.
+    """Stop the process if a route refers to a service that does not exist.
 
-    Acceptance refuses such tickets; this is the last guard before a proxy
-    would answer callers from a broken table.
+    Acceptance refuses such tickets. This last check keeps a proxy from serving
+    callers with an inconsistent route table.
     """
     for route in snapshot.routes.values():
         assert route.service in snapshot.services, (
--- a/libs/model/src/verbenamill_model/chaining.py
+++ b/libs/model/src/verbenamill_model/chaining.py
@@ -1,4 +1,4 @@
-"""The digest by which daemons compare what they run."""
+"""The digest by which daemons compare their states."""
 
 from collections.abc import Iterator, Mapping
 from hashlib import blake2b
@@ -9,20 +9,20 @@
 from verbenamill_model.entries import Entry
 from verbenamill_model.state import Refusal, Snapshot, State
 
-_SIZE = 8
+_DIGEST_BYTES = 8
 _encoder = Encoder(order='deterministic')
 
 
 def chain_digest(before: State, after: State, entry: Entry) -> str:
-    """Digest of a state from the one before and what has changed.
+    """Compute the digest of a state from the previous one and the changes.
 
-    A digest over all of a large state at each record took ten times as long
-    as the change itself. Two daemons whose chains are equal have folded the
-    same records and drawn the same conclusions from each; one that runs
-    another program, or lost a record, parts from the others at once and for
-    good, since every later digest follows from this one.
+    A digest over the whole of a large state took ten times as long as the
+    change itself. Two daemons with equal digests have applied the same records
+    with the same results. The digest of a daemon that runs another release, or
+    has lost a record, differs at once and permanently, since every later
+    digest is derived from it.
     """
-    digest = blake2b(before.digest.encode(), digest_size=_SIZE)
+    digest = blake2b(before.digest.encode(), digest_size=_DIGEST_BYTES)
     changes = (
         entry.offset,
         entry.at,
@@ -52,10 +52,10 @@
     before: Mapping[Any, Any],
     after: Mapping[Any, Any],
 ) -> Iterator[Any]:
-    """Resources that are new or gone; kept ones are the same objects."""
+    """Find new and removed resources; unchanged ones are the same objects."""
     if before is after:
         return
-    for name, known in after.items():
-        if before.get(name) is not known:
-            yield known
+    for name, resource in after.items():
+        if before.get(name) is not resource:
+            yield resource
     yield sorted(set(before).difference(after))
--- a/libs/model/src/verbenamill_model/checks.py
+++ b/libs/model/src/verbenamill_model/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a ticket against the snapshot it would change."""
+"""Checks of a ticket against the snapshot that it would change."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -7,14 +7,15 @@
 from verbenamill_model.state import Snapshot
 from verbenamill_model.tickets import Route, Service, Ticket
 
-#: Shortest time a move may be given: canary, growing shares and a hold.
+#: Minimum duration of a move, which has a canary stage, increasing shares and
+#: a hold time.
 MIN_MOVE = timedelta(seconds=5)
-#: Longest timeout of a route. Owners remember the ids of requests that may
-#: not be repeated for twice as long; a late copy of one that outlived this
-#: memory could run a second time.
+#: Maximum timeout of a route. Owners remember the ids of requests that must
+#: not be repeated for twice as long. With a longer timeout, a delayed copy of a
+#: request could arrive after that time and run again.
 MAX_TIMEOUT = timedelta(minutes=1)
 MAX_NAME = 100
-NAME_FORM = f'a name of up to {MAX_NAME} letters, digits, ".", "_" and "-"'
+NAME_FORMAT = f'a name of up to {MAX_NAME} letters, digits, ".", "_" and "-"'
 
 Check = Callable[[Snapshot, Ticket, datetime], Iterator[str]]
 
@@ -24,7 +25,7 @@
     ticket: Ticket,
     at: datetime,
 ) -> str | None:
-    """First reason to refuse a ticket, or ``None``."""
+    """Find the first reason to refuse a ticket, or ``None``."""
     return next(iter(find_faults(snapshot, ticket, at)), None)
 
 
@@ -33,13 +34,13 @@
     ticket: Ticket,
     at: datetime,
 ) -> tuple[str, ...]:
-    """All reasons to refuse a ticket, in words an operator can act on.
+    """Find all reasons to refuse a ticket, on which an operator can act.
 
-    :param at: time from which a deadline is counted.
+    :param at: time from which the time to a deadline is measured.
     """
     checks: tuple[Check, ...] = (
-        _check_form,
-        _check_twice,
+        _check_format,
+        _check_duplicates,
         _check_removals,
         _check_references,
         _check_moves,
@@ -50,15 +51,17 @@
 
 
 def find_form_faults(ticket: Ticket) -> tuple[str, ...]:
-    """Reasons to refuse a ticket that hold for every snapshot."""
-    checks = (_check_form, _check_twice)
-    never = datetime.min.replace(tzinfo=UTC)
+    """Find the reasons to refuse a ticket that apply to every snapshot."""
+    checks = (_check_format, _check_duplicates)
+    earliest = datetime.min.replace(tzinfo=UTC)
     return tuple(
-        fault for check in checks for fault in check(Snapshot(), ticket, never)
+        fault
+        for check in checks
+        for fault in check(Snapshot(), ticket, earliest)
     )
 
 
-def _check_form(_: Snapshot, ticket: Ticket, at: datetime) -> Iterator[str]:
+def _check_format(_: Snapshot, ticket: Ticket, at: datetime) -> Iterator[str]:
     if ticket.number < 1:
         yield f'number {ticket.number} is not positive; start at 1'
     if not ticket.author.strip():
@@ -82,7 +85,7 @@
 def _check_service(service: Service) -> Iterator[str]:
     for text in (service.name, service.version):
         if not _is_name(text):
-            yield f'service name or version {text!r} is not {NAME_FORM}'
+            yield f'service name or version {text!r} is not {NAME_FORMAT}'
     if service.deadline is not None and service.deadline.tzinfo is None:
         yield (
             f'deadline {service.deadline} of {service.name} has no offset; '
@@ -92,7 +95,7 @@
 
 def _check_route(route: Route) -> Iterator[str]:
     if not _is_name(route.name):
-        yield f'route name {route.name!r} is not {NAME_FORM}'
+        yield f'route name {route.name!r} is not {NAME_FORMAT}'
     if not route.prefix.startswith('/') or not route.prefix.isprintable():
         yield f'prefix {route.prefix!r} of route {route.name} must begin with /'
     if route.timeout <= timedelta(0):
@@ -113,7 +116,9 @@
     )
 
 
-def _check_twice(_: Snapshot, ticket: Ticket, at: datetime) -> Iterator[str]:
+def _check_duplicates(
+    _: Snapshot, ticket: Ticket, at: datetime
+) -> Iterator[str]:
     services = (
         *(service.name for service in ticket.services),
         *ticket.remove_services,
--- a/libs/model/src/verbenamill_model/codec.py
+++ b/libs/model/src/verbenamill_model/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of records and states; the codec is msgspec's."""
+"""Encoding and decoding of records and states with msgspec."""
 
 import hashlib
 from datetime import datetime
@@ -10,7 +10,7 @@
 from verbenamill_model.state import State
 from verbenamill_model.tickets import Record, Ticket
 
-#: Longest record that is accepted, in bytes.
+#: Maximum size of an accepted record, in bytes.
 MAX_RECORD = 256 * 1024
 
 _json_encoder = msgspec.json.Encoder(order='deterministic')
@@ -24,7 +24,7 @@
 
 
 def decode_record(body: bytes) -> Result[Record, str]:
-    """Decode a record, or say what is wrong with it."""
+    """Decode a record, or return the reason why it is invalid."""
     if len(body) > MAX_RECORD:
         return Failure(
             f'record of {len(body)} bytes is longer than {MAX_RECORD}; '
@@ -37,13 +37,13 @@
 
 
 def encode_state(state: State) -> bytes:
-    """Encode a state for a checkpoint; equal states give equal bytes."""
-    # The encoder orders keys only when all of them are text already.
+    """Encode a state for a checkpoint; equal states have equal encodings."""
+    # The encoder sorts the keys of a mapping only if all of them are strings.
     return _json_encoder.encode(as_plain(state))
 
 
 def decode_state(body: bytes) -> Result[State, str]:
-    """Decode a checkpoint, or say what is wrong with it."""
+    """Decode a checkpoint, or return the reason why it is invalid."""
     try:
         return Success(_state_decoder.decode(body))
     except msgspec.MsgspecError as error:
@@ -51,22 +51,22 @@
 
 
 def digest_ticket(ticket: Ticket) -> str:
-    """Digest that tells a repeated ticket from another one."""
+    """Digest that distinguishes a repeated ticket from a different one."""
     body = _json_encoder.encode(ticket)
     return hashlib.blake2b(body, digest_size=16).hexdigest()
 
 
 def as_plain(value: Any) -> Any:
-    """Turn messages into plain values for ``--json``."""
+    """Convert messages to built-in types, for ``--json``."""
     return msgspec.to_builtins(value, str_keys=True)
 
 
 def parse_time(text: str) -> datetime:
-    """Read an ISO 8601 time.
+    """Parse a time in ISO 8601 format.
 
-    :raises ValueError: when it is none, or has no offset from UTC.
+    :raises ValueError: if the text is not a time or has no offset from UTC.
     """
-    moment = datetime.fromisoformat(text)
-    if moment.tzinfo is None:
+    time = datetime.fromisoformat(text)
+    if time.tzinfo is None:
         raise ValueError(f'time {text!r} has no offset; write e.g. +00:00')
-    return moment
+    return time
--- a/libs/model/src/verbenamill_model/durations.py
+++ b/libs/model/src/verbenamill_model/durations.py
@@ -1,4 +1,4 @@
-"""Durations as files for operators write them: a number with a unit."""
+"""Durations in files for operators: a number with a unit."""
 
 import re
 from datetime import timedelta
@@ -13,12 +13,12 @@
 }
 
 
-def parse_duration(found: Any) -> timedelta:
-    """Read a number with a unit, such as ``250ms`` or ``3s``.
+def parse_duration(value: Any) -> timedelta:
+    """Parse a number with a unit, such as ``250ms`` or ``3s``.
 
-    :raises ValueError: when it is none.
+    :raises ValueError: if the value is not a duration.
     """
-    match = _DURATION.fullmatch(found) if isinstance(found, str) else None
+    match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
-        raise ValueError(f'{found!r} is not a number with a unit')
+        raise ValueError(f'{value!r} is not a number with a unit')
     return float(match[1]) * _UNITS[match[2]]
--- a/libs/model/src/verbenamill_model/entries.py
+++ b/libs/model/src/verbenamill_model/entries.py
@@ -1,4 +1,4 @@
-"""Records of the log with their place on it."""
+"""Records of the log with their position."""
 
 from datetime import datetime
 
@@ -8,7 +8,7 @@
 
 
 class Entry(Struct, frozen=True, kw_only=True):
-    """One record of the log with its place and the log's own time stamp."""
+    """One record of the log with its offset and the timestamp of the log."""
 
     offset: Offset
     at: datetime
--- a/libs/model/src/verbenamill_model/state.py
+++ b/libs/model/src/verbenamill_model/state.py
@@ -1,4 +1,4 @@
-"""The state that a prefix of the log leads to, and its snapshot."""
+"""The state that results from a prefix of the log, and its snapshot."""
 
 from datetime import datetime
 
@@ -20,8 +20,8 @@
 class Move(Struct, frozen=True, kw_only=True):
     """A running move of one service between two versions.
 
-    :param id: offset of the ticket record that began it.
-    :param accepted_at: time of that record, as the log stamped it.
+    :param id: offset of the ticket record that started it.
+    :param accepted_at: timestamp of that record on the log.
     """
 
     id: Offset
@@ -37,7 +37,7 @@
 class Verdict(Struct, frozen=True, kw_only=True):
     """Final outcome of one move.
 
-    :param at: time of the record that settled it.
+    :param at: timestamp of the record that ended the move.
     :param offset: offset of that record.
     """
 
@@ -50,10 +50,10 @@
 
 
 class ServiceState(Struct, frozen=True, kw_only=True):
-    """What is in force for one service.
+    """The state in force for one service.
 
-    :param version: the version that answers when no move runs.
-    :param move: the move that runs, if any.
+    :param version: version that answers calls while no move is running.
+    :param move: the running move, if any.
     """
 
     service: Service
@@ -62,9 +62,10 @@
 
 
 class Snapshot(Struct, frozen=True, kw_only=True):
-    """Everything a proxy runs; immutable and swapped whole.
+    """The complete configuration of a proxy; immutable and replaced as a whole.
 
-    :param version: offset of the record that made it; -1 before any.
+    :param version: offset of the record that created it; -1 before the first
+        one.
     """
 
     version: ConfigVersion = ConfigVersion(-1)
@@ -73,7 +74,7 @@
 
 
 class Refusal(Struct, frozen=True, kw_only=True):
-    """Why a record changed nothing, in words an operator can act on."""
+    """Refusal of a record, with a reason on which an operator can act."""
 
     offset: Offset
     at: datetime
@@ -82,7 +83,7 @@
 
 
 class AuditEntry(Struct, frozen=True, kw_only=True):
-    """One line of the audit trail that the configuration itself keeps."""
+    """One entry of the audit trail, which is part of the state."""
 
     offset: Offset
     at: datetime
@@ -92,16 +93,17 @@
 
 
 class State(Struct, frozen=True, kw_only=True):
-    """What a reader keeps of the log up to ``offset``.
-
-    :param offset: last record folded in; -1 before any.
-    :param digest: of the digest before and of all that the record at
-        ``offset`` changed, so it stands for the whole history.
-    :param numbers: ticket number in force on each resource, also on
-        removed ones, keyed ``service:NAME`` or ``route:NAME``.
-    :param digests: digest of each ticket seen, by number; the lowest are
-        forgotten first.
-    :param floor: numbers at or below it whose digest was forgotten.
+    """The state of a reader of the log after the record at ``offset``.
+
+    :param offset: offset of the last applied record; -1 before the first one.
+    :param digest: digest of the previous digest and of everything that the
+        record at ``offset`` changed, so that it covers the whole history.
+    :param numbers: number of the last ticket of each resource, including
+        removed ones, by ``service:NAME`` or ``route:NAME``.
+    :param digests: digest of each ticket by its number; the lowest numbers are
+        dropped first.
+    :param floor: highest ticket number whose digest was dropped; tickets at or
+        below it are refused.
     """
 
     offset: Offset = Offset(-1)
--- a/libs/model/src/verbenamill_model/status.py
+++ b/libs/model/src/verbenamill_model/status.py
@@ -1,4 +1,4 @@
-"""What a daemon says of itself to operators and their tools."""
+"""Status of a daemon for operators and their tools."""
 
 from msgspec import Struct
 
@@ -6,14 +6,14 @@
 
 
 class Status(Struct, frozen=True, kw_only=True):
-    """What ``GET /status`` of a daemon's admin API answers.
+    """Answer of a daemon's admin API to ``GET /status``.
 
-    :param offset: last record of the log that was folded in.
-    :param version: offset of the record that made the snapshot in force.
+    :param offset: offset of the last applied record of the log.
+    :param version: offset of the record that created the snapshot in force.
     :param digest: digest of the state at ``offset``.
-    :param ready: whether it has the configuration and takes calls.
-    :param members: daemons known, this one included.
-    :param moves: running moves.
+    :param ready: whether it has the configuration and accepts calls.
+    :param members: number of known daemons, including this one.
+    :param moves: number of running moves.
     """
 
     id: VmId
--- a/libs/model/src/verbenamill_model/ticket_file.py
+++ b/libs/model/src/verbenamill_model/ticket_file.py
@@ -1,4 +1,4 @@
-"""Reading of a ticket file, with every fault at once."""
+"""Parser of ticket files that reports all errors at once."""
 
 import tomllib
 from collections.abc import Mapping
@@ -29,13 +29,13 @@
 
 
 def read_ticket(text: str) -> Result[Ticket, tuple[Fault, ...]]:
-    """Read a ticket from TOML, or list everything that is wrong with it."""
+    """Parse a ticket from TOML, or list all errors in it."""
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         return Failure((Fault(key='', expected=f'TOML: {error}'),))
-    found, faults = _read_table(Ticket, document, '')
-    return Failure(tuple(faults)) if faults else Success(Ticket(**found))
+    values, faults = _read_table(Ticket, document, '')
+    return Failure(tuple(faults)) if faults else Success(Ticket(**values))
 
 
 def _read_table(
@@ -45,39 +45,39 @@
 ) -> tuple[dict[str, Any], list[Fault]]:
     known = {field.name: field for field in fields(struct)}
     faults = [
-        unknown_key(f'{prefix}{name}', found, known)
-        for name, found in table.items()
+        unknown_key(f'{prefix}{name}', value, known)
+        for name, value in table.items()
         if name not in known
     ]
-    found_values = {}
+    values = {}
     for name, field in known.items():
         key = f'{prefix}{name}'
-        found = table.get(name)
-        if found is not None:
-            converted, wrong = _read_field(field, found, key)
-            found_values[name] = converted
-            faults.extend(wrong)
+        value = table.get(name)
+        if value is not None:
+            converted, field_faults = _read_field(field, value, key)
+            values[name] = converted
+            faults.extend(field_faults)
         elif field.required:
             expected = _describe(_plain_type(field))
             faults.append(Fault(key=key, expected=expected))
-    return found_values, faults
+    return values, faults
 
 
 def _read_field(
     field: FieldInfo,
-    found: Any,
+    value: Any,
     key: str,
 ) -> tuple[Any, list[Fault]]:
     kind = _plain_type(field)
     struct = _table_type(kind)
-    if struct is not None and _is_tables(found):
-        return _read_tables(struct, found, key)
+    if struct is not None and _is_table_list(value):
+        return _read_tables(struct, value, key)
     try:
-        return _convert(kind, found), []
+        return _convert(kind, value), []
     except ValueError:
         fault = Fault(
             key=key,
-            found=show_value(found),
+            found=show_value(value),
             expected=_describe(kind, key),
         )
         return None, [fault]
@@ -91,32 +91,32 @@
     items = []
     faults: list[Fault] = []
     for number, table in enumerate(tables, start=1):
-        found, wrong = _read_table(struct, table, f'{key}[{number}].')
-        faults.extend(wrong)
-        if not wrong:
-            items.append(struct(**found))
+        values, table_faults = _read_table(struct, table, f'{key}[{number}].')
+        faults.extend(table_faults)
+        if not table_faults:
+            items.append(struct(**values))
     return tuple(items), faults
 
 
-def _is_tables(found: Any) -> bool:
-    return isinstance(found, list) and all(
-        isinstance(item, Mapping) for item in found
+def _is_table_list(value: Any) -> bool:
+    return isinstance(value, list) and all(
+        isinstance(item, Mapping) for item in value
     )
 
 
-def _convert(kind: Any, found: Any) -> Any:
+def _convert(kind: Any, value: Any) -> Any:
     if kind is timedelta:
-        return parse_duration(found)
-    converted = msgspec.convert(found, kind)
+        return parse_duration(value)
+    converted = msgspec.convert(value, kind)
     if isinstance(converted, datetime) and converted.tzinfo is None:
-        # Operators and VMs may be in different time zones; a deadline
-        # without an offset would mean another moment to each of them.
-        raise ValueError('a time needs its offset')
+        # Operators and VMs may be in different time zones, in which a deadline
+        # without a UTC offset would denote different times.
+        raise ValueError('time has no UTC offset')
     return converted
 
 
 def _plain_type(field: FieldInfo) -> Any:
-    """The field's type without ``None`` and without NewType."""
+    """Type of a field, without ``None`` and NewType."""
     kind = field.type
     if get_origin(kind) is UnionType:
         kind = next(part for part in get_args(kind) if part is not NoneType)
@@ -124,7 +124,7 @@
 
 
 def _table_type(kind: Any) -> type[Struct] | None:
-    """Type of the tables in a list of them."""
+    """Type of the tables if the type is a list of tables."""
     item = next(iter(get_args(kind)), None)
     if isinstance(item, type) and issubclass(item, Struct):
         return item
--- a/libs/model/src/verbenamill_model/tickets.py
+++ b/libs/model/src/verbenamill_model/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets: what an operator publishes, and the records of the log."""
+"""Tickets that operators publish, and the records of the log."""
 
 from datetime import datetime, timedelta
 
@@ -19,13 +19,14 @@
 
 
 class Service(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Whole wanted state of one service.
+    """Complete desired state of one service.
 
     :param name: unique name of the service.
-    :param version: upstream version that is to answer its calls.
-    :param deadline: when the version must have all traffic; required when
-        the version differs from the one in force.
-    :param profile: how doubt at the deadline is resolved.
+    :param version: upstream version that should answer its calls.
+    :param deadline: time at which the version must have all traffic; required
+        if the version differs from the one in force.
+    :param profile: how the move is decided if the evidence about the version is
+        inconclusive at the deadline.
     """
 
     name: ServiceName
@@ -35,15 +36,15 @@
 
 
 class Route(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Whole wanted state of one route.
+    """Complete desired state of one route.
 
     :param name: unique name of the route.
-    :param prefix: path prefix that selects it; the longest match wins.
-    :param service: the service that answers.
-    :param priority: order at an owner whose slots are taken.
-    :param idempotent: whether a call may be repeated; ``None`` decides by
+    :param prefix: path prefix of its calls; the longest matching one is used.
+    :param service: service that answers the calls.
+    :param priority: priority in the queue of an owner without a free slot.
+    :param idempotent: whether a call may be repeated; ``None`` decides by the
         method (GET, HEAD, OPTIONS, PUT, DELETE are idempotent).
-    :param timeout: longest a call may take.
+    :param timeout: maximum duration of a call.
     """
 
     name: RouteName
@@ -55,12 +56,12 @@
 
 
 class Ticket(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One numbered change: the whole new state of what it touches.
+    """One numbered change, with the complete new state of its resources.
 
-    :param number: chosen by the operator; grows with each change of a
+    :param number: chosen by the operator; increases with each change of a
         resource.
-    :param author: who answers for the change, for the audit trail.
-    :param aborts: services whose running move is to be taken back.
+    :param author: person responsible for the change, for the audit trail.
+    :param aborts: services whose running move should be taken back.
     """
 
     number: TicketNumber
@@ -74,19 +75,19 @@
 
 
 class TicketRecord(Struct, frozen=True, kw_only=True, tag='ticket'):
-    """A ticket as it stands on the log."""
+    """A ticket as a record of the log."""
 
     ticket: Ticket
     record_version: int = RECORD_VERSION
 
 
 class VerdictRecord(Struct, frozen=True, kw_only=True, tag='verdict'):
-    """The outcome of one move as it stands on the log.
+    """The outcome of one move as a record of the log.
 
-    The first verdict of a move, at the lowest offset, counts.
+    Only the verdict of a move at the lowest offset counts.
 
-    :param move: offset of the ticket record that began the move.
-    :param reason: evidence in a sentence, for the audit trail.
+    :param move: offset of the ticket record that started the move.
+    :param reason: the evidence in one sentence, for the audit trail.
     """
 
     move: Offset
--- a/libs/model/src/verbenamill_model/traffic.py
+++ b/libs/model/src/verbenamill_model/traffic.py
@@ -1,4 +1,4 @@
-"""What calls, membership and moves tell each other about traffic."""
+"""Messages about traffic between calls, membership and moves."""
 
 from datetime import timedelta
 from enum import Enum, unique
@@ -17,10 +17,10 @@
 
 
 class Upstream(Struct, frozen=True, kw_only=True):
-    """An upstream as its daemon announces it to the other daemons.
+    """An upstream as announced by its daemon to the other daemons.
 
-    :param slots: calls it works on at a time.
-    :param connections: open connections it allows.
+    :param slots: number of calls that it processes concurrently.
+    :param connections: maximum number of open connections.
     """
 
     service: ServiceName
@@ -34,11 +34,11 @@
     """One daemon, with the upstream it owns.
 
     :param control: ``host:port`` of its links with other daemons.
-    :param calls: ``host:port`` where it takes calls.
+    :param calls: ``host:port`` on which it accepts calls.
     :param admin: ``host:port`` of its admin API, for the operators' tool;
-        empty when it is not told.
-    :param incarnation: grows with each change that the member itself makes;
-        the higher one wins.
+        empty if it is not announced.
+    :param incarnation: increases with each change that the member itself
+        makes; the record with the highest value is the valid one.
     """
 
     id: VmId
@@ -53,10 +53,10 @@
 
 @unique
 class Outcome(str, Enum):
-    """How a call to an upstream ended, as the evidence of a move counts it.
+    """Result of a call to an upstream, as counted for the evidence of a move.
 
-    ``SHED`` is a call that an upstream refused before it ran, also with a
-    closed port, and no failure of the version.
+    ``SHED`` is a call that an upstream refused before it ran, including by a
+    closed port. It is not a failure of the version.
     """
 
     OK = 'ok'
@@ -66,9 +66,9 @@
 
 
 class Observation(Struct, frozen=True, kw_only=True):
-    """One call that an owner saw end.
+    """A completed call, as observed by the owner of the upstream.
 
-    :param latency: from the first byte sent to the whole answer received.
+    :param latency: time from the first byte sent to the complete answer.
     """
 
     service: ServiceName
@@ -78,5 +78,5 @@
     latency: timedelta
 
 
-#: Share of the calls of a service that each version gets; adds up to 1.
+#: Share of the calls of a service that each version gets; they add up to 1.
 Shares = dict[VersionName, float]
--- a/libs/model/src/verbenamill_model/typing.py
+++ b/libs/model/src/verbenamill_model/typing.py
@@ -1,4 +1,4 @@
-"""Identifiers and states that all libraries share."""
+"""Identifiers and enumerations that all libraries share."""
 
 from enum import Enum, unique
 from typing import NewType
@@ -11,15 +11,15 @@
 RouteName = NewType('RouteName', str)
 RequestId = NewType('RequestId', str)
 TicketNumber = NewType('TicketNumber', int)
-#: Position of a record on a stream of the log.
+#: Position of a record in a stream of the log.
 Offset = NewType('Offset', int)
-#: Offset of the record that made a snapshot; snapshots only grow.
+#: Offset of the record that created a snapshot; it only increases.
 ConfigVersion = NewType('ConfigVersion', int)
 
 
 @unique
 class Priority(str, Enum):
-    """Order in which an owner serves calls that wait for a slot."""
+    """Priority of a call that waits for a slot at its owner."""
 
     HIGH = 'high'
     NORMAL = 'normal'
@@ -28,7 +28,7 @@
 
 @unique
 class Profile(str, Enum):
-    """How doubt about a version is resolved at its deadline."""
+    """How a move with inconclusive evidence is decided at its deadline."""
 
     ON_TIME = 'on-time'
     CAUTIOUS = 'cautious'
@@ -46,7 +46,7 @@
 
 @unique
 class UpstreamState(str, Enum):
-    """Life of an upstream as its daemon announces it."""
+    """Lifecycle state of an upstream as announced by its daemon."""
 
     STARTING = 'starting'
     READY = 'ready'
--- a/libs/model/tests/test_accept.py
+++ b/libs/model/tests/test_accept.py
@@ -1,4 +1,4 @@
-"""Acceptance of tickets and verdicts, record by record."""
+"""Acceptance of single tickets and verdicts."""
 
 import sys
 from datetime import UTC, datetime, timedelta
@@ -61,11 +61,11 @@
     return state
 
 
-def test_same_ticket_twice_changes_nothing(installed):
-    """An operator whose answer was lost publishes again.
+def test_a_repeated_ticket_changes_nothing(installed):
+    """An operator whose answer was lost publishes the ticket again.
 
     The second copy must not be refused, since the change is in force, and
-    must not make a new snapshot.
+    must not create a new snapshot.
     """
     again, answer = publish(
         installed,
@@ -77,8 +77,8 @@
     assert again.snapshot == installed.snapshot
 
 
-def test_same_number_other_content_is_refused(installed):
-    """Two operators race and both take number 1; the first one counts."""
+def test_a_used_number_with_other_content_is_refused(installed):
+    """Two operators use number 1 at the same time; the first one counts."""
     after, answer = publish(
         installed,
         number=1,
@@ -89,7 +89,7 @@
     assert after.snapshot == installed.snapshot
 
 
-def test_stale_number_is_refused(moving):
+def test_a_stale_number_is_refused(moving):
     after, answer = publish(
         moving,
         number=1,
@@ -99,18 +99,18 @@
     assert after.snapshot == moving.snapshot
 
 
-def test_removing_a_service_under_a_route_is_refused(installed):
+def test_removing_a_service_with_a_route_is_refused(installed):
     after, answer = publish(installed, number=3, remove_services=('entries',))
     assert isinstance(answer, Refusal)
     assert 'points at service entries' in answer.reason
     assert after.snapshot == installed.snapshot
 
 
-def test_first_verdict_counts(moving):
-    """Two deciders settle the same move; the lower offset wins.
+def test_the_first_verdict_counts(moving):
+    """Two deciders end the same move; the verdict at the lower offset counts.
 
-    The later one, from a decider that woke from a pause, must not take the
-    finished move back.
+    The later one, from a decider that was paused, must not take the finished
+    move back.
     """
     move = moving.snapshot.services['entries'].move
     assert move is not None
@@ -134,18 +134,18 @@
     assert [verdict.kind for verdict in state.verdicts] == [VerdictKind.DONE]
 
 
-def test_broken_record_is_refused_and_counted(installed):
-    broken = Entry(offset=installed.offset + 1, at=START, body=b'{"no":1')
-    state, answer = accept(installed, broken)
+def test_an_invalid_record_is_refused_and_advances_the_offset(installed):
+    invalid = Entry(offset=installed.offset + 1, at=START, body=b'{"no":1')
+    state, answer = accept(installed, invalid)
     assert isinstance(answer, Refusal)
     assert state.snapshot == installed.snapshot
-    assert state.offset == broken.offset
+    assert state.offset == invalid.offset
 
 
-def test_timeout_beyond_the_memory_of_owners_is_refused(installed):
-    """A fee waits longer than its owner remembers its id.
+def test_a_timeout_longer_than_owners_remember_ids_is_refused(installed):
+    """A fee request must not outlive its id in the memory of the owner.
 
-    A copy that comes late would run a second time, and charge twice.
+    A delayed copy would run a second time, and charge twice.
     """
     route = Route(
         name='fees',
@@ -158,11 +158,11 @@
     assert 'the longest is 60 s' in answer.reason
 
 
-def test_verdict_of_an_unknown_record_version_is_refused(moving):
-    """A decider of a later release writes what this one cannot judge.
+def test_a_verdict_with_an_unknown_record_version_is_refused(moving):
+    """A decider of a later release writes a record of an unknown format.
 
-    Folded in as if it were understood, it could finish a move that it meant
-    to hold; daemons of the later release would part from this one.
+    Applied regardless, it could finish a move that it was meant to hold, and
+    the state would differ from that of daemons of the later release.
     """
     move = moving.snapshot.services['entries'].move
     later = VerdictRecord(
@@ -178,11 +178,11 @@
     assert state.snapshot == moving.snapshot
 
 
-def test_marks_of_removed_services_do_not_grow_without_bound(monkeypatch):
-    """Services come and go for years, each under a name of its own.
+def test_the_numbers_of_removed_services_are_bounded(monkeypatch):
+    """Services are added and removed for years, each with a different name.
 
-    What is kept of the removed ones must stay bounded, and an old ticket
-    must still not bring one of them back.
+    The memory for removed ones must stay bounded, and an old ticket must still
+    not add one of them again.
     """
     module = sys.modules['verbenamill_model.accept']
     monkeypatch.setattr(module, 'MAX_DIGESTS', 8)
@@ -199,15 +199,15 @@
     assert after.snapshot == state.snapshot
 
 
-def test_daemon_that_concludes_otherwise_is_told_by_its_digest(
+def test_daemons_with_different_results_have_different_digests(
     installed,
     monkeypatch,
 ):
     """One daemon runs another release, which allows shorter moves.
 
-    Both have read the same records and stand at the same offset. If their
-    digests were equal, nobody would see that they run different states; and
-    the difference must not be healed by a later record.
+    Both have read the same records up to the same offset. With equal digests,
+    nobody would notice that their states differ, and a later record must not
+    make the digests equal again.
     """
     wanted = Service(
         name='entries',
--- a/libs/model/tests/test_accept_properties.py
+++ b/libs/model/tests/test_accept_properties.py
@@ -1,4 +1,4 @@
-"""Acceptance over any interleaving of what may stand on the log."""
+"""Properties of acceptance for arbitrary logs."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -52,7 +52,7 @@
     remove_routes=st.lists(NAMES, max_size=1).map(tuple),
     aborts=st.lists(NAMES, max_size=1).map(tuple),
 )
-#: Tickets that are mostly accepted, so that moves begin and end.
+#: Tickets that are mostly accepted, so that moves start and end.
 useful = st.builds(
     lambda number, name, version: Ticket(
         number=number,
@@ -90,10 +90,10 @@
 
 @st.composite
 def logs(draw):
-    """Records, of which some stand on the log again later."""
+    """Logs of records, some of which are repeated later."""
     drawn = draw(st.lists(bodies, min_size=1, max_size=14))
-    again = draw(st.lists(st.sampled_from(drawn), max_size=6))
-    mixed = draw(st.permutations([*drawn, *again]))
+    repeated = draw(st.lists(st.sampled_from(drawn), max_size=6))
+    mixed = draw(st.permutations([*drawn, *repeated]))
     return tuple(
         Entry(offset=offset, at=START + timedelta(seconds=offset), body=body)
         for offset, body in enumerate(mixed)
@@ -105,10 +105,11 @@
 
 @checked
 @given(logs(), st.data())
-def test_a_checkpoint_at_any_point_leads_to_the_same_state(entries, data):
-    """A daemon that starts from a checkpoint must not differ from one that
-    read the whole log: the two would run different configurations, and no
-    later record would make them equal again.
+def test_a_checkpoint_at_any_offset_leads_to_the_same_state(entries, data):
+    """A daemon that starts from a checkpoint agrees with one that reads all.
+
+    Otherwise the two would run different configurations, and no later record
+    would make them equal again.
     """
     whole = fold(State(), entries).unwrap()
     cut = data.draw(st.integers(0, len(entries)))
@@ -117,15 +118,15 @@
     rest = fold(restored, entries[cut:]).unwrap()
     assert rest == whole
     assert rest.digest == whole.digest
-    # Dicts compare without their order, but reasons of refusals and the
-    # order of verdicts follow it.
+    # The comparison of dicts ignores their order, on which the reasons of
+    # refusals and the order of verdicts depend.
     assert list(rest.snapshot.services) == list(whole.snapshot.services)
     assert list(rest.snapshot.routes) == list(whole.snapshot.routes)
 
 
 @checked
 @given(logs())
-def test_each_record_keeps_the_invariants(entries):
+def test_each_record_preserves_the_invariants(entries):
     state = State()
     for entry in entries:
         after, answer = accept(state, entry)
@@ -149,11 +150,11 @@
 
 @checked
 @given(logs())
-def test_a_log_that_is_read_again_changes_nothing(entries):
-    """Every ticket is retried after its answer was lost, in order.
+def test_retrying_all_accepted_tickets_changes_nothing(entries):
+    """Every ticket is published again, in order, after its answer was lost.
 
-    A retry of what is in force, or was, must neither be applied a second
-    time nor undo a later change.
+    A retry of a current or former change must neither be applied a second time
+    nor undo a later change.
     """
     state = fold(State(), entries).unwrap()
     accepted = [
@@ -164,20 +165,20 @@
             Applied,
         )
     ]
-    again = tuple(
+    retries = tuple(
         Entry(
-            offset=len(entries) + place,
+            offset=len(entries) + index,
             at=START + timedelta(minutes=1),
             body=entry.body,
         )
-        for place, entry in enumerate(accepted)
+        for index, entry in enumerate(accepted)
     )
-    assert fold(state, again).unwrap().snapshot == state.snapshot
+    assert fold(state, retries).unwrap().snapshot == state.snapshot
 
 
 @checked
 @given(logs(), st.data())
-def test_a_gap_is_never_folded_over(entries, data):
+def test_a_gap_in_the_offsets_is_an_error(entries, data):
     missing = data.draw(st.integers(0, len(entries) - 1))
     rest = entries[:missing] + entries[missing + 1 :]
     outcome = fold(State(), rest)
--- a/libs/model/tests/test_ticket_file.py
+++ b/libs/model/tests/test_ticket_file.py
@@ -1,4 +1,4 @@
-"""A ticket file is read whole, and each fault says what to write."""
+"""Ticket files: parsing, and errors that state the expected value."""
 
 from datetime import timedelta
 
@@ -6,7 +6,7 @@
 
 from verbenamill_model import read_ticket
 
-GOOD = """
+VALID = """
 number = 1
 author = "ann"
 [[services]]
@@ -26,15 +26,15 @@
     return [str(fault) for fault in read_ticket(text).failure()]
 
 
-def test_good_ticket():
-    ticket = read_ticket(GOOD).unwrap()
+def test_a_valid_ticket_is_parsed():
+    ticket = read_ticket(VALID).unwrap()
     assert ticket.services[0].deadline.utcoffset() == timedelta(hours=7)
     assert ticket.routes[0].timeout == timedelta(seconds=1.5)
 
 
-def test_every_fault_is_listed_at_once():
+def test_all_errors_are_listed_at_once():
     faults = faults_of(
-        GOOD.replace('number', 'nmber')
+        VALID.replace('number', 'nmber')
         .replace('"v2"', '2')
         .replace('"1.5s"', '1.5')
         .replace('"cautious"', '"careful"'),
@@ -53,13 +53,13 @@
 @pytest.mark.parametrize(
     ('before', 'after', 'expected'),
     [
-        # An operator in Bangkok and a VM in Texas read it differently.
+        # An operator and a VM may be in different time zones.
         ('+07:00', '', 'a time with its offset'),
         ('[[services]]', '[services]', 'one [[services]] for each'),
         ('[[services]]', 'aborts = "x"\n[[services]]', 'a list of names'),
         ('"ann"', '"ann', 'TOML: '),
     ],
 )
-def test_faults_say_what_to_write(before, after, expected):
-    [fault] = faults_of(GOOD.replace(before, after, 1))
+def test_an_error_states_the_expected_value(before, after, expected):
+    [fault] = faults_of(VALID.replace(before, after, 1))
     assert f'expected {expected}' in fault
--- a/libs/policy/tests/test_placement.py
+++ b/libs/policy/tests/test_placement.py
@@ -57,7 +57,7 @@
 
 def test_a_failing_upstream_is_avoided_and_retried_later():
     # A grey failure: half of the requests fail while health checks pass.
-    # Callers get errors as long as it is chosen. After its recovery, only
+    # Callers get errors while the owner is chosen. After its recovery, only
     # requests can show that it works again.
     grey = make_owner('grey')
     for number in range(20):
