--- a/libs/model/src/verbenamill_model/accept.py
+++ b/libs/model/src/verbenamill_model/accept.py
@@ -203,8 +203,12 @@
     entry: Entry,
     record: VerdictRecord,
 ) -> tuple[State, Answer]:
-    known = state.snapshot.services.get(record.service)
-    if known is None or known.move is None or known.move.id != record.move:
+    service_state = state.snapshot.services.get(record.service)
+    if (
+        service_state is None
+        or service_state.move is None
+        or service_state.move.id != record.move
+    ):
         # The verdict at the lowest offset counts. Further verdicts, written by
         # a second decider or by one that was paused, change nothing.
         return state, Duplicate()
@@ -214,18 +218,20 @@
             entry,
             f'verdict {record.kind.value} is not for a decider to give',
         )
-    return _apply_verdict(state, entry, record, known, known.move)
+    return _apply_verdict(
+        state, entry, record, service_state, service_state.move
+    )
 
 
 def _apply_verdict(
     state: State,
     entry: Entry,
     record: VerdictRecord,
-    known: ServiceState,
+    service_state: ServiceState,
     move: Move,
 ) -> tuple[State, Answer]:
     version = move.new if record.kind is VerdictKind.DONE else move.old
-    settled = replace(known, version=version, move=None)
+    settled = replace(service_state, version=version, move=None)
     snapshot = replace(
         state.snapshot,
         version=ConfigVersion(entry.offset),
--- a/libs/model/src/verbenamill_model/applying.py
+++ b/libs/model/src/verbenamill_model/applying.py
@@ -76,10 +76,10 @@
     }
     for name in ticket.aborts:
         services[name] = replace(services[name], move=None)
-    for wanted in ticket.services:
-        services[wanted.name] = _next_service(
-            before.services.get(wanted.name),
-            wanted,
+    for desired in ticket.services:
+        services[desired.name] = _next_service(
+            before.services.get(desired.name),
+            desired,
             ticket.number,
             entry,
         )
@@ -88,25 +88,25 @@
 
 def _next_service(
     before: ServiceState | None,
-    wanted: Service,
+    desired: Service,
     number: TicketNumber,
     entry: Entry,
 ) -> ServiceState:
     if before is None:
-        return ServiceState(service=wanted, version=wanted.version)
-    if before.version == wanted.version or wanted.deadline is None:
-        return ServiceState(service=wanted, version=before.version)
+        return ServiceState(service=desired, version=desired.version)
+    if before.version == desired.version or desired.deadline is None:
+        return ServiceState(service=desired, version=before.version)
     move = Move(
         id=entry.offset,
         ticket=number,
-        service=wanted.name,
+        service=desired.name,
         old=before.version,
-        new=wanted.version,
+        new=desired.version,
         accepted_at=entry.at,
-        deadline=wanted.deadline,
-        profile=wanted.profile,
+        deadline=desired.deadline,
+        profile=desired.profile,
     )
-    return ServiceState(service=wanted, version=before.version, move=move)
+    return ServiceState(service=desired, version=before.version, move=move)
 
 
 def _next_routes(
--- a/libs/model/src/verbenamill_model/checks.py
+++ b/libs/model/src/verbenamill_model/checks.py
@@ -143,8 +143,8 @@
         if route not in snapshot.routes:
             yield f'route {route} does not exist'
     for service in ticket.aborts:
-        known = snapshot.services.get(service)
-        if known is not None and known.move is None:
+        current = snapshot.services.get(service)
+        if current is not None and current.move is None:
             yield f'service {service} has no running move to abort'
 
 
@@ -179,13 +179,13 @@
     at: datetime,
 ) -> Iterator[str]:
     for service in ticket.services:
-        known = snapshot.services.get(service.name)
-        if known is None or known.version == service.version:
+        current = snapshot.services.get(service.name)
+        if current is None or current.version == service.version:
             continue
         earliest = at + MIN_MOVE
         if service.deadline is None:
             yield (
-                f'{service.name} moves from {known.version} to '
+                f'{service.name} moves from {current.version} to '
                 f'{service.version} without a deadline; give one'
             )
         elif service.deadline.tzinfo and service.deadline < earliest:
--- a/libs/policy/src/verbenamill_policy/baselines.py
+++ b/libs/policy/src/verbenamill_policy/baselines.py
@@ -5,8 +5,8 @@
 
 #: Failure rate assumed for a good version with few counts.
 TYPICAL_FAILURE_RATE = 0.03
-#: Share of the old version's requests in the tail above which a time counts
-#: as long, before the allowance below.
+#: Share of the old version's requests whose times lie above the bound of long
+#: times, before the allowance below is added to it.
 _TAIL_SHARE = 0.05
 #: Number of buckets by which a new version may be slower overall: a factor of
 #: 1.7, as when it gets nearly all requests. Differences between upstreams are
--- a/libs/policy/src/verbenamill_policy/heartbeats.py
+++ b/libs/policy/src/verbenamill_policy/heartbeats.py
@@ -63,7 +63,7 @@
     def __init__(self, address: str) -> None:
         self._address = address
         self._current: UpstreamRecord | None = None
-        self._left: dict[str, tuple[int, int]] = {}
+        self._shutdowns: dict[str, tuple[int, int]] = {}
 
     @property
     def current(self) -> UpstreamRecord | None:
@@ -75,7 +75,7 @@
         if beat.address != self._address:
             return HeartbeatResult.OTHER_ADDRESS
         order = (beat.born, beat.sequence)
-        if self._left.get(beat.instance, (-1, -1)) >= order:
+        if self._shutdowns.get(beat.instance, (-1, -1)) >= order:
             return HeartbeatResult.STALE
         current = self._current
         if current is not None and not _is_newer_heartbeat(current, beat):
@@ -135,7 +135,7 @@
 
     def has_left(self, upstream: UpstreamRecord) -> bool:
         """Whether a start of an upstream has announced its shutdown."""
-        known = self._left.get(upstream.instance, (-1, -1))
+        known = self._shutdowns.get(upstream.instance, (-1, -1))
         return known >= (upstream.born, upstream.heartbeat)
 
     def mark_gone(self, instance: str) -> None:
@@ -157,10 +157,10 @@
         """
         if record.state is UpstreamState.READY:
             return self._restore_ready(record)
-        known = self._left.get(record.instance, (-1, -1))
+        known = self._shutdowns.get(record.instance, (-1, -1))
         order = (record.born, record.heartbeat)
         if order > known:
-            self._left[record.instance] = order
+            self._shutdowns[record.instance] = order
             self._evict_oldest()
         current = self._current
         if current is None and record.has_left:
@@ -188,7 +188,7 @@
         Requests state the instance that they are for, so a different upstream
         that has started at the address refuses them.
         """
-        if self._current is not None or record.instance in self._left:
+        if self._current is not None or record.instance in self._shutdowns:
             return False
         self._current = record
         return True
@@ -205,12 +205,12 @@
         )
 
     def _remember_leave(self, instance: str, born: int) -> None:
-        self._left[instance] = (born, LEAVE_SEQUENCE)
+        self._shutdowns[instance] = (born, LEAVE_SEQUENCE)
         self._evict_oldest()
 
     def _evict_oldest(self) -> None:
-        while len(self._left) > MAX_REMEMBERED:
-            self._left.pop(next(iter(self._left)))
+        while len(self._shutdowns) > MAX_REMEMBERED:
+            self._shutdowns.pop(next(iter(self._shutdowns)))
 
     def _set_state(self, state: UpstreamState) -> None:
         current = self._current
--- a/libs/policy/src/verbenamill_policy/limits.py
+++ b/libs/policy/src/verbenamill_policy/limits.py
@@ -89,7 +89,7 @@
         return True
 
     def take_update(self, now: float) -> bool:
-        """Whether a change is due for announcement; it then counts as sent."""
+        """Whether to announce a change now; it is then marked as announced."""
         if now - self._announced_at < _ANNOUNCE_PERIOD:
             return False
         if not _is_significant(self.announced, self.rate):
--- a/libs/policy/src/verbenamill_policy/rollouts.py
+++ b/libs/policy/src/verbenamill_policy/rollouts.py
@@ -49,12 +49,12 @@
     begins: float
 
 
-#: Stages of a move. A version that turns bad late or only under load must not
-#: have had a tenth of all requests of the window by then. Before the stage
-#: with nearly all requests it gets 5 % of them; the rest is what that stage
-#: sends until the version is detected as bad. In that stage the old version
-#: keeps a small share: without answers of both versions from the same
-#: seconds, a fault that affects both would be attributed to the new one.
+#: Stages of a move. A version that turns bad late or only under load must get
+#: less than a tenth of all requests of the window until it is detected. Before
+#: the stage with nearly all requests it gets 5 % of them; the rest is what
+#: that stage sends until the detection. In that stage the old version keeps a
+#: small share: without answers of both versions from the same seconds, a fault
+#: that affects both would be attributed to the new one.
 STAGES = (
     Stage(0, 0),
     Stage(0.03, 0),
--- a/libs/policy/src/verbenamill_policy/transit.py
+++ b/libs/policy/src/verbenamill_policy/transit.py
@@ -31,8 +31,9 @@
     """Detects messages that were delayed by a link.
 
     A link that loses packets or was interrupted for a moment may deliver a
-    request a second late, and the end of it later still. With the deadline
-    from its sender, the request would run although its caller has given up.
+    request a second late, and the message that ends it later still. With the
+    deadline that it was sent with, the request would run although its caller
+    has given up.
     The shortest recent transit from a sender estimates the difference of the
     clocks; the time of a message beyond that is its delay.
     """
--- a/libs/policy/tests/test_admission.py
+++ b/libs/policy/tests/test_admission.py
@@ -110,26 +110,26 @@
 )
 def test_slots_are_never_exceeded_and_no_request_is_lost(slots, steps):
     admission = make_admission(slots, 0.05)
-    present = []
+    active = []
     now = 0
     for priority, ends in steps:
         now += 0.01
         if ends:
             running = [
-                one for one in present if one.result is AdmissionResult.ADMITTED
+                one for one in active if one.result is AdmissionResult.ADMITTED
             ]
             if running:
-                present.remove(running[0])
+                active.remove(running[0])
                 admission.release(running[0].request, now, took=0.05)
         else:
-            present.append(acquire(admission, priority, now))
-        present = [
-            one for one in present if one.result is not AdmissionResult.SHED
+            active.append(acquire(admission, priority, now))
+        active = [
+            one for one in active if one.result is not AdmissionResult.SHED
         ]
         running = [
-            one for one in present if one.result is AdmissionResult.ADMITTED
+            one for one in active if one.result is AdmissionResult.ADMITTED
         ]
-        queued = [one for one in present if one.result is None]
+        queued = [one for one in active if one.result is None]
         assert len(running) == admission.running <= slots
         assert len(queued) == admission.waiting
         # No slot is idle while a request waits.
@@ -155,11 +155,11 @@
     # slots, all requests beyond the first few would be late, and would take
     # the slots from later requests that could be in time.
     admission = Admission(slots=2)
-    present = [
+    active = [
         acquire(admission, objective=2, deadline=8, latency_objective=2)
         for _ in range(30)
     ]
-    kept = [one for one in present if one.result is not AdmissionResult.SHED]
+    kept = [one for one in active if one.result is not AdmissionResult.SHED]
     assert 4 <= len(kept) <= 8
 
 
