--- a/libs/policy/src/verbenamill_policy/quarantine.py
+++ b/libs/policy/src/verbenamill_policy/quarantine.py
@@ -56,7 +56,7 @@
     :param round: increases when the request is cleared.
     :param crashes: crashes in this round while the request was in flight, in
         alphabetical order; empty once it is cleared.
-    :param alone: those of the crashes that occurred in isolated runs, which
+    :param alone: the subset of crashes that occurred in isolated runs, which
         are started one at a time because of the suspicion.
     :param changed_at: time of the newest crash or of the clearance, as Unix
         time in seconds.
--- a/libs/policy/tests/test_admission.py
+++ b/libs/policy/tests/test_admission.py
@@ -84,7 +84,7 @@
     assert lookup.result is AdmissionResult.SHED
 
 
-def test_a_late_request_is_admitted_by_its_deadline():
+def test_a_late_request_is_judged_by_its_deadline():
     admission = make_admission(1, 0.2)
     acquire(admission)
     assert acquire(admission, objective=0.1, deadline=1).result is None
--- a/libs/policy/tests/test_members.py
+++ b/libs/policy/tests/test_members.py
@@ -31,12 +31,12 @@
 
 @settings(derandomize=True, deadline=None)
 @given(records, st.randoms(use_true_random=False))
-def test_order_and_duplicates_of_records_do_not_matter(found, random):
+def test_order_and_duplicates_of_records_do_not_matter(received, random):
     one = MemberTable()
-    for record in found:
+    for record in received:
         one.merge(record)
     other = MemberTable()
-    shuffled = [*found, *found]
+    shuffled = [*received, *received]
     random.shuffle(shuffled)
     for record in shuffled:
         other.merge(record)
--- a/libs/policy/tests/test_quarantine.py
+++ b/libs/policy/tests/test_quarantine.py
@@ -237,12 +237,12 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(records, max_size=8), st.randoms(use_true_random=False))
-def test_records_merge_in_any_order_and_more_than_once(found, random):
+def test_records_merge_in_any_order_and_more_than_once(received, random):
     """Guards against daemons whose records never converge."""
     one, other = Quarantine(), Quarantine()
-    for record in found:
+    for record in received:
         one.merge(record, now=0)
-    shuffled = [*found, *found]
+    shuffled = [*received, *received]
     random.shuffle(shuffled)
     for record in shuffled:
         other.merge(record, now=0)
@@ -253,9 +253,9 @@
 
 @settings(derandomize=True, max_examples=100)
 @given(st.lists(records, max_size=4), records)
-def test_the_merge_result_shows_which_side_lacks_something(found, record):
+def test_the_merge_result_shows_which_side_lacks_something(received, record):
     quarantine = Quarantine()
-    for each in found:
+    for each in received:
         quarantine.merge(each, now=0)
     before = _content(quarantine)
     result = quarantine.merge(record, now=0)
--- a/libs/policy/tests/test_rollouts.py
+++ b/libs/policy/tests/test_rollouts.py
@@ -86,10 +86,10 @@
         self.random = Random(seed)
         self.owners = {}
         for version in ('v1', 'v2', 'v3'):
-            for place, speed in enumerate(speeds):
+            for index, speed in enumerate(speeds):
                 counts = UpstreamCounts()
-                counts.begin(f'{version}{place}')
-                self.owners[version, place] = (counts, speed)
+                counts.begin(f'{version}{index}')
+                self.owners[version, index] = (counts, speed)
 
     def serve(
         self,
@@ -116,8 +116,8 @@
 
     def tallies(self):
         return [
-            counts.tally(f'{version}{place}', 's', version)
-            for (version, place), (counts, _) in self.owners.items()
+            counts.tally(f'{version}{index}', 's', version)
+            for (version, index), (counts, _) in self.owners.items()
         ]
 
 
@@ -166,13 +166,13 @@
 @pytest.mark.parametrize('seed', range(10))
 def test_a_bad_version_is_detected_while_upstreams_crash(seed):
     """Guards against crashes that count as normal failures of a version."""
-    found = simulate(
+    detected_at = simulate(
         Fleet(seed=seed),
         per_step=2,
         at=lambda _: {'failing': 0.5},
         lost=0.3,
     )
-    assert found < 3
+    assert detected_at < 3
 
 
 @pytest.mark.parametrize('seed', range(10))
@@ -182,44 +182,46 @@
 )
 def test_a_bad_version_is_detected_next_to_another_bad_one(bad, seed):
     """Guards against a replaced move whose bad version is the baseline."""
-    found = simulate(Fleet(seed=seed), per_step=2, at=lambda _: bad, other=bad)
-    assert found < 3
+    detected_at = simulate(
+        Fleet(seed=seed), per_step=2, at=lambda _: bad, other=bad
+    )
+    assert detected_at < 3
 
 
 @pytest.mark.parametrize('seed', range(10))
 def test_a_good_version_is_not_vetoed_next_to_two_old_ones(seed):
     """Guards against a comparison with the luckiest of several versions."""
     usual = {'failing': 0.01, 'lost': 0.1}
-    found = simulate(
+    detected_at = simulate(
         Fleet(seed=seed),
         per_step=3,
         at=lambda _: usual,
         other=usual,
         lost=0.1,
     )
-    assert found is None
+    assert detected_at is None
 
 
 @pytest.mark.parametrize('seed', range(10))
 def test_a_good_version_is_not_vetoed_while_upstreams_crash(seed):
     """Guards against a veto for crashes that affect all versions."""
-    found = simulate(
+    detected_at = simulate(
         Fleet(seed=seed),
         per_step=3,
         at=lambda _: {'failing': 0.01, 'lost': 0.3},
         lost=0.3,
     )
-    assert found is None
+    assert detected_at is None
 
 
 @pytest.mark.parametrize('seed', range(10))
 def test_a_version_that_turns_bad_late_is_detected_as_soon(seed):
-    found = simulate(
+    detected_at = simulate(
         Fleet(seed=seed),
         per_step=3,
         at=lambda now: {'failing': 0.5 if now > 6 else 0.01},
     )
-    assert 6 < found < 8
+    assert 6 < detected_at < 8
 
 
 @pytest.mark.parametrize('seed', range(10))
@@ -263,8 +265,8 @@
         fleet.serve('v1', 20, failing=0.01)
         counts, _ = fleet.owners['v2', 0]
         counts.add('r', failed=True, took=None)
-        for place in (1, 2):
-            counts, _ = fleet.owners['v2', place]
+        for index in (1, 2):
+            counts, _ = fleet.owners['v2', index]
             for _ in range(3):
                 counts.add('r', failed=False, took=0.1)
         evidence.update(fleet.tallies())
@@ -291,8 +293,8 @@
     """Guards against a stopped owner that counts in favour of its version."""
     fleet = Fleet(seed=3)
     evidence = Evidence('v2')
-    for place in (0, 1):
-        counts, _ = fleet.owners['v2', place]
+    for index in (0, 1):
+        counts, _ = fleet.owners['v2', index]
         for _ in range(3):
             counts.add('r', failed=False, took=0.1)
     evidence.update(fleet.tallies())
