--- a/libs/http/src/verbenamill_http/__init__.py
+++ b/libs/http/src/verbenamill_http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages and connections over trio and httptools."""
+"""HTTP/1.1 clients and servers on top of trio and httptools."""
--- a/libs/http/src/verbenamill_http/addresses.py
+++ b/libs/http/src/verbenamill_http/addresses.py
@@ -1,4 +1,4 @@
-"""Network addresses as settings write them."""
+"""Network addresses in the notation of settings files."""
 
 from ipaddress import IPv4Address, IPv6Address, ip_address
 from typing import Any
@@ -9,24 +9,24 @@
 
 
 class Address(Struct, frozen=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """As it stands in a settings file."""
+        """Return the address in the notation of settings files."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
     @property
     def is_wildcard(self) -> bool:
-        """Whether it stands for every interface."""
+        """Whether the address stands for all network interfaces."""
         return self._ip.is_unspecified
 
     @property
     def is_loopback(self) -> bool:
-        """Whether only this machine reaches it."""
+        """Whether the address is reachable only from this machine."""
         return self._ip.is_loopback
 
     @property
@@ -34,25 +34,26 @@
         return ip_address(self.host)
 
     def overlaps(self, other: 'Address') -> bool:
-        """Whether both cannot be bound at once."""
+        """Whether the two addresses cannot be bound at the same time."""
         if self.port != other.port or self.port == 0:
             return False
-        wildcard = self.is_wildcard or other.is_wildcard
-        return wildcard or self.host == other.host
+        has_wildcard = self.is_wildcard or other.is_wildcard
+        return has_wildcard or self.host == other.host
 
 
-def parse_address(found: Any) -> Address:
-    """Read ``host:port`` or ``[host]:port``.
+def parse_address(text: Any) -> Address:
+    """Parse ``host:port`` or ``[host]:port``.
 
-    :raises ValueError: when it is none, or the host is no IP number.
+    :raises ValueError: if the text has another form, or the host is not an
+        IP address.
     """
-    if not isinstance(found, str):
+    if not isinstance(text, str):
         raise ValueError
-    host, colon, port = found.rpartition(':')
+    host, colon, port = text.rpartition(':')
     if not colon or not port.isascii() or not port.isdigit():
         raise ValueError
-    bracketed = host.startswith('[') and host.endswith(']')
-    number = ip_address(host[1:-1] if bracketed else host)
-    if bracketed != (number.version == 6) or int(port) > MAX_PORT:
+    is_bracketed = host.startswith('[') and host.endswith(']')
+    ip = ip_address(host[1:-1] if is_bracketed else host)
+    if is_bracketed != (ip.version == 6) or int(port) > MAX_PORT:
         raise ValueError
-    return Address(str(number), int(port))
+    return Address(str(ip), int(port))
--- a/libs/http/src/verbenamill_http/client.py
+++ b/libs/http/src/verbenamill_http/client.py
@@ -1,4 +1,7 @@
-"""Requests over kept connections, each with one whole answer or a fault."""
+"""HTTP client with persistent connections.
+
+Each request ends with one complete response or with a failure.
+"""
 
 import socket
 from collections.abc import Callable
@@ -18,18 +21,18 @@
 from verbenamill_http.parsing import ResponseCollector
 from verbenamill_http.sockets import USER_TIMEOUT_MS, connect
 
-#: Bytes read at a time.
-READ_SIZE = 64 * 1024
-#: Longest head of an answer, in bytes.
-MAX_HEAD = 32 * 1024
+#: Largest number of bytes that one read takes.
+READ_SIZE_BYTES = 64 * 1024
+#: Longest response head that is accepted.
+MAX_HEAD_BYTES = 32 * 1024
 
 
 @unique
 class ExchangeFailure(Enum):
-    """Why there is no answer.
+    """Why a request has no response.
 
-    ``UNSENT`` proves that the other end has not got the request. After
-    ``LOST`` and ``GARBLED`` it may have run.
+    ``NOT_SENT`` proves that the server has not received the request. After
+    ``CONNECTION_LOST`` and ``MALFORMED`` the server may have executed it.
     """
 
     NOT_SENT = 'unsent'
@@ -38,9 +41,9 @@
 
 
 class ClientResponse(Struct, kw_only=True):
-    """A whole answer.
+    """A complete response.
 
-    :param is_reusable: whether its connection is in step for another one.
+    :param is_reusable: whether the connection can carry another request.
     """
 
     status: int
@@ -50,7 +53,7 @@
 
 
 class ClientConnection:
-    """One connection; one request at a time."""
+    """Client side of a connection that carries one request at a time."""
 
     def __init__(self, sock: socket.socket, *, opened_at: float) -> None:
         self._sock = sock
@@ -59,9 +62,10 @@
         self.is_new = True
 
     def is_usable(self) -> bool:
-        """Whether it is open and no byte waits on it.
+        """Whether the connection is open and has no unread bytes.
 
-        A byte that nobody asked for is an answer too many, or the end.
+        Bytes without a request are a surplus response, and an end of file
+        means that the server has closed the connection.
         """
         try:
             self._sock.recv(1, socket.MSG_PEEK)
@@ -72,16 +76,16 @@
         return False
 
     async def closes_within(self, timeout: float) -> bool:
-        """Whether the other end closes it before anything was sent.
+        """Whether the server closes the idle connection within a time limit.
 
-        :param timeout: how long that is waited for, in seconds.
+        :param timeout: how long to wait for that, in seconds.
         """
         with trio.move_on_after(timeout):
             await trio.lowlevel.wait_readable(self._sock)
         return not self.is_usable()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection without waiting."""
         self._sock.close()
 
     async def exchange(
@@ -92,50 +96,52 @@
         is_bodiless: bool,
         max_body: int,
     ) -> ClientResponse | ExchangeFailure:
-        """Send a request and read its answer.
+        """Send a request and read its response.
 
-        A caller that is cancelled meanwhile has to close the connection.
+        If this method is cancelled, the connection has to be closed.
 
-        :param is_ours: tells the answer from a late one to an earlier
-            request, which is skipped.
-        :param is_bodiless: whether the answer's head is all, as after HEAD.
-        :param max_body: longest body that is kept, in bytes.
+        :param matches_request: whether a response belongs to this request;
+            late responses to earlier requests are skipped.
+        :param is_bodiless: whether the response has no body, as after HEAD.
+        :param max_body: longest body that is accepted, in bytes.
         """
-        rest = self._try_send(request)
-        if rest is None:
+        remaining = self._send_nowait(request)
+        if remaining is None:
             return ExchangeFailure.NOT_SENT
-        reading = _Reading(
+        reader = _ResponseReader(
             matches_request,
-            ResponseCollector(MAX_HEAD, is_bodiless=is_bodiless),
+            ResponseCollector(MAX_HEAD_BYTES, is_bodiless=is_bodiless),
             max_body,
         )
-        if not rest:
-            return await self._read(reading)
-        return await self._send_and_read(rest, reading)
+        if not remaining:
+            return await self._read_response(reader)
+        return await self._send_and_read(remaining, reader)
 
     async def _send_and_read(
         self,
-        rest: bytes,
-        reading: '_Reading',
+        remaining: bytes,
+        reader: '_ResponseReader',
     ) -> ClientResponse | ExchangeFailure:
-        # The other end may answer a long request before it has read all of
-        # it. Both directions are served, so that neither waits for ever.
+        # The server may respond to a long request before it has read all of
+        # it. Sending and reading run concurrently to avoid a deadlock.
         result: ClientResponse | ExchangeFailure = (
             ExchangeFailure.CONNECTION_LOST
         )
         async with trio.open_nursery() as nursery:
-            state = _Sending()
-            nursery.start_soon(self._send_rest, rest, state)
-            result = await self._read(reading)
+            state = _SendState()
+            nursery.start_soon(self._send_remaining, remaining, state)
+            result = await self._read_response(reader)
             nursery.cancel_scope.cancel()
         if isinstance(result, ClientResponse) and not state.is_done:
-            # The rest of the body is still due on this connection; the next
-            # request would be taken for it.
+            # The server still expects the rest of the body and would read
+            # the next request as part of it.
             result.is_reusable = False
         return result
 
-    async def _send_rest(self, rest: bytes, state: '_Sending') -> None:
-        view = memoryview(rest)
+    async def _send_remaining(
+        self, remaining: bytes, state: '_SendState'
+    ) -> None:
+        view = memoryview(remaining)
         while view:
             await trio.lowlevel.wait_writable(self._sock)
             try:
@@ -146,41 +152,42 @@
                 return
         state.is_done = True
 
-    async def _read(
-        self, reading: '_Reading'
+    async def _read_response(
+        self, reader: '_ResponseReader'
     ) -> ClientResponse | ExchangeFailure:
         while True:
             try:
                 await trio.lowlevel.wait_readable(self._sock)
-                data = self._sock.recv(READ_SIZE)
+                data = self._sock.recv(READ_SIZE_BYTES)
             except BlockingIOError:
                 continue
             except OSError:
                 return ExchangeFailure.CONNECTION_LOST
-            result = reading.feed(data) if data else reading.end()
+            result = reader.feed(data) if data else reader.end()
             if result is not None:
                 return result
 
-    def _try_send(self, request: bytes) -> bytes | None:
+    def _send_nowait(self, request: bytes) -> bytes | None:
         try:
             sent = self._sock.send(request)
         except BlockingIOError:
             return request
         except OSError:
-            # The kernel knew that the connection had ended and took nothing.
+            # The kernel had already marked the connection as closed, so no
+            # byte of the request was sent.
             return None
         return request[sent:]
 
 
-class _Sending:
-    """Whether a request has gone out whole."""
+class _SendState:
+    """Records whether the whole request has been sent."""
 
     def __init__(self) -> None:
         self.is_done = False
 
 
-class _Reading:
-    """Puts one answer together, and skips those that are not ours."""
+class _ResponseReader:
+    """Assembles one response and skips responses to other requests."""
 
     def __init__(
         self,
@@ -188,7 +195,7 @@
         collector: ResponseCollector,
         max_body: int,
     ) -> None:
-        self._is_ours = matches_request
+        self._matches_request = matches_request
         self._collector = collector
         self._max_body = max_body
         self._head: ResponseHead | None = None
@@ -196,29 +203,36 @@
         self._size = 0
 
     def feed(self, data: bytes) -> ClientResponse | ExchangeFailure | None:
-        """Take in bytes; the answer as soon as it is whole."""
-        is_broken = False
+        """Process received bytes.
+
+        :return: the response once it is complete, or a failure.
+        """
+        is_malformed = False
         try:
             self._collector.parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade):
-            is_broken = True
-        result = self._take_events()
-        if result is None and is_broken:
+            is_malformed = True
+        result = self._process_events()
+        if result is None and is_malformed:
             return ExchangeFailure.MALFORMED
-        if isinstance(result, ClientResponse) and is_broken:
+        if isinstance(result, ClientResponse) and is_malformed:
             result.is_reusable = False
         return result
 
     def end(self) -> ClientResponse | ExchangeFailure:
-        """The connection has ended in good order."""
+        """Process an orderly end of the connection."""
         head = self._head
-        if head is not None and not head.is_framed and self._is_ours(head):
-            # No length was told, so the end of the connection is the end
-            # of the body. A reset does not come here: it is an error.
-            return self._answer(head, is_reusable=False)
+        if (
+            head is not None
+            and not head.is_framed
+            and self._matches_request(head)
+        ):
+            # The response has no length, so the end of the connection is the
+            # end of the body. A reset is reported as an error elsewhere.
+            return self._build_response(head, is_reusable=False)
         return ExchangeFailure.CONNECTION_LOST
 
-    def _take_events(self) -> ClientResponse | ExchangeFailure | None:
+    def _process_events(self) -> ClientResponse | ExchangeFailure | None:
         events = self._collector.events
         while events:
             event = events.popleft()
@@ -230,32 +244,32 @@
             elif isinstance(event, ResponseHead):
                 self._head = event
             elif event is EndOfBody.END:
-                answer = self._finish()
-                if answer is not None:
-                    return answer
+                response = self._complete_response()
+                if response is not None:
+                    return response
             else:
                 assert isinstance(event, ReadFailure)
                 return ExchangeFailure.MALFORMED
         return None
 
-    def _finish(self) -> ClientResponse | None:
+    def _complete_response(self) -> ClientResponse | None:
         head = self._head
         assert head is not None
-        if self._is_ours(head):
-            is_alone = (
+        if self._matches_request(head):
+            is_last = (
                 not self._collector.events
                 and self._collector.is_between_messages
             )
-            return self._answer(
+            return self._build_response(
                 head,
-                is_reusable=head.keep_alive and is_alone,
+                is_reusable=head.keep_alive and is_last,
             )
         self._head = None
         self._parts = []
         self._size = 0
         return None
 
-    def _answer(
+    def _build_response(
         self, head: ResponseHead, *, is_reusable: bool
     ) -> ClientResponse:
         return ClientResponse(
@@ -267,13 +281,14 @@
 
 
 class ConnectionPool:
-    """Kept connections to one address.
-
-    :param limit: open connections at most.
-    :param max_idle: idle time after which one is not used again, in seconds.
-    :param connect_timeout: in seconds.
-    :param unacknowledged: how long sent bytes may stay unacknowledged, in
-        milliseconds; 0 where the other end may leave a body unread for long.
+    """Persistent connections to one address.
+
+    :param limit: maximum number of open connections.
+    :param max_idle: idle time after which a connection is not used again, in
+        seconds.
+    :param connect_timeout: time limit for opening a connection, in seconds.
+    :param user_timeout_ms: how long sent bytes may stay unacknowledged, in
+        milliseconds; 0 if the server may leave a body unread for a long time.
     """
 
     def __init__(
@@ -287,54 +302,58 @@
     ) -> None:
         self.address = address
         self.max_idle = max_idle
-        self.open = 0
+        self.open_count = 0
         self._limit = limit
         self._connect_timeout = connect_timeout
-        self._unacknowledged = user_timeout_ms
+        self._user_timeout_ms = user_timeout_ms
         self._idle: list[ClientConnection] = []
-        self._trusted_since = float('-inf')
+        self._valid_since = float('-inf')
 
     @property
     def is_full(self) -> bool:
-        """Whether all connections that are allowed are in use."""
-        return self.open >= self._limit and not self._idle
+        """Whether the maximum number of connections is in use."""
+        return self.open_count >= self._limit and not self._idle
 
     async def acquire(
         self,
         *,
         max_idle: float | None = None,
     ) -> ClientConnection | None:
-        """A connection of one's own; ``None`` if none can be had.
+        """Take an idle connection, or open one.
 
         :param max_idle: shorter idle time for requests that must not be
-            repeated: the other end may close a kept one at any moment.
+            repeated, because the server may close an idle connection at any
+            moment.
+        :return: a connection for exclusive use; ``None`` if the limit is
+            reached or the server cannot be reached.
         """
         limit = self.max_idle if max_idle is None else max_idle
-        connection = self._take_idle(limit)
+        connection = self._pop_idle(limit)
         if connection is not None:
             return connection
-        if self.open >= self._limit and self._idle:
-            # Those that are idle for too long must not block a new one.
+        if self.open_count >= self._limit and self._idle:
+            # Connections past their idle time must not keep a new one from
+            # being opened.
             self.discard(self._idle.pop(0))
-        if self.open >= self._limit:
+        if self.open_count >= self._limit:
             return None
-        self.open += 1
+        self.open_count += 1
         sock = None
         try:
             sock = await connect(
                 self.address,
                 self._connect_timeout,
-                user_timeout_ms=self._unacknowledged,
+                user_timeout_ms=self._user_timeout_ms,
             )
         finally:
-            self.open -= sock is None
+            self.open_count -= sock is None
         if sock is None:
             return None
         return ClientConnection(sock, opened_at=trio.current_time())
 
     def release(self, connection: ClientConnection) -> None:
-        """Keep a connection after a whole answer."""
-        if connection.opened_at < self._trusted_since:
+        """Return a connection to the pool after a complete response."""
+        if connection.opened_at < self._valid_since:
             self.discard(connection)
             return
         connection.is_new = False
@@ -342,37 +361,37 @@
         self._idle.append(connection)
 
     def discard(self, connection: ClientConnection) -> None:
-        """Close a connection."""
+        """Close a connection instead of returning it to the pool."""
         connection.close()
-        self.open -= 1
+        self.open_count -= 1
 
     def invalidate(self) -> None:
-        """Use no connection again that is open now.
+        """Ensure that no connection that is open now is used again.
 
-        Something between the two ends may have lost track of them all: each
-        would swallow a request, while a new connection works.
+        A device on the network path may have lost its state of all of them.
+        Requests sent on them would be lost, while a new connection works.
         """
-        self._trusted_since = trio.current_time()
+        self._valid_since = trio.current_time()
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Close the connections that no request uses."""
+        """Close all connections that are not in use."""
         idle = self._idle
         self._idle = []
         for connection in idle:
             self.discard(connection)
 
     def has_open_connection(self) -> bool:
-        """Whether any connection is in use, or idle and open."""
+        """Whether any connection is in use, or idle and still open."""
         idle = self._idle
         self._idle = [one for one in idle if one.is_usable()]
         for connection in idle:
             if connection not in self._idle:
                 self.discard(connection)
-        return self.open > 0
+        return self.open_count > 0
 
     def close_expired(self) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that have exceeded the idle time."""
         oldest = trio.current_time() - self.max_idle
         idle = self._idle
         self._idle = [one for one in idle if one.used_at >= oldest]
@@ -380,13 +399,14 @@
             if connection.used_at < oldest:
                 self.discard(connection)
 
-    def _take_idle(self, max_idle: float) -> ClientConnection | None:
+    def _pop_idle(self, max_idle: float) -> ClientConnection | None:
         oldest = trio.current_time() - max_idle
         while self._idle:
             connection = self._idle.pop()
             if connection.used_at < oldest:
-                # The last one returned is the youngest, so all others are
-                # older still; they may serve requests that can be repeated.
+                # Connections are popped in the reverse order of their return,
+                # so all others have been idle for longer. They are kept for
+                # requests that can be repeated.
                 self._idle.append(connection)
                 return None
             if connection.is_usable():
--- a/libs/http/src/verbenamill_http/connection.py
+++ b/libs/http/src/verbenamill_http/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection: trio moves the bytes, httptools parses them."""
+"""HTTP/1.1 connections that use trio for I/O and httptools for parsing."""
 
 import os
 from http import HTTPStatus
@@ -16,26 +16,28 @@
     head_too_long,
 )
 
-#: Bytes read at a time; bounds what a connection keeps in memory.
-READ_SIZE = 64 * 1024
+#: Largest number of bytes that one read takes. Limits the memory that a
+#: connection uses for unprocessed bytes.
+READ_SIZE_BYTES = 64 * 1024
 
 
 class EventSource(Protocol):
-    """Where the events of a message come from."""
+    """Source of the events of a message."""
 
     def receive_nowait(self) -> MessageEvent | None:
-        """Next event that needs no waiting."""
+        """Return the next event, or ``None`` if none is available yet."""
 
     async def receive(self) -> MessageEvent:
-        """Next event."""
+        """Wait for the next event."""
 
 
 class HttpConnection:
-    """One connection, from either end of it.
+    """Either side of a connection.
 
-    Faults are values: :class:`Broken` events and ``False`` from ``send``.
+    Failures are reported as values: as :class:`ReadFailure` events, and as
+    ``False`` from ``send``.
 
-    :param max_head: longest head that is read, in bytes.
+    :param max_head: longest head that is accepted, in bytes.
     """
 
     def __init__(
@@ -56,13 +58,13 @@
         self._collector: RequestCollector | ResponseCollector | None = None
 
     def expect_requests(self) -> None:
-        """Read requests from now on."""
+        """Interpret received bytes as requests from now on."""
         self._collector = RequestCollector(self._max_head)
 
     def expect_response(self, *, is_bodiless: bool) -> None:
-        """Read one answer from now on.
+        """Interpret received bytes as a single response from now on.
 
-        :param is_bodiless: whether its head is all, as after HEAD.
+        :param is_bodiless: whether the response has no body, as after HEAD.
         """
         self._head_bytes = 0
         self.received_bytes = 0
@@ -73,9 +75,9 @@
 
     @property
     def is_between_messages(self) -> bool:
-        """Whether the last message is read and no further one has begun.
+        """Whether the last message is complete and no other one has begun.
 
-        After an answer, anything more belongs to no request of ours.
+        Events after a response do not belong to any request that was sent.
         """
         collector = self._collector
         if collector is None:
@@ -84,17 +86,17 @@
 
     @property
     def has_buffered_event(self) -> bool:
-        """Whether some event needs no waiting."""
+        """Whether an event is available without waiting."""
         return self._collector is not None and bool(self._collector.events)
 
     def receive_nowait(self) -> MessageEvent | None:
-        """Next event that needs no waiting."""
+        """Return the next event, or ``None`` if none is available yet."""
         assert self._collector is not None
         events = self._collector.events
         return events.popleft() if events else None
 
     async def receive(self) -> MessageEvent:
-        """Next event."""
+        """Wait for the next event."""
         assert self._collector is not None
         events = self._collector.events
         while not events:
@@ -102,15 +104,15 @@
             if not data:
                 return ReadFailure('connection lost')
             self.received_bytes += len(data)
-            fault = self._feed(data)
-            if fault is not None:
-                events.append(fault)
+            failure = self._feed(data)
+            if failure is not None:
+                events.append(failure)
         return events.popleft()
 
     def try_send(self, data: bytes) -> bytes | None:
-        """Send what the socket takes at once.
+        """Send as many bytes as the socket accepts without waiting.
 
-        :return: what is left; ``None`` when the connection is lost.
+        :return: the remaining bytes; ``None`` if the connection is lost.
         """
         try:
             sent = os.write(self._fd, data)
@@ -121,45 +123,48 @@
         return data[sent:]
 
     async def send(self, data: bytes) -> bool:
-        """Send all of it; ``False`` when the connection is lost."""
-        left = self.try_send(data)
-        while left:
+        """Send all bytes; ``False`` if the connection is lost."""
+        remaining = self.try_send(data)
+        while remaining:
             try:
                 await trio.lowlevel.wait_writable(self._fd)
             except (trio.ClosedResourceError, OSError):
                 return False
-            left = self.try_send(left)
-        return left is not None
+            remaining = self.try_send(remaining)
+        return remaining is not None
 
     def is_closed_by_peer(self) -> bool:
-        """Whether the other end has closed; reads nothing."""
+        """Whether the peer has closed the connection; reads no bytes."""
         return bool(self._poll(POLLRDHUP))
 
     def is_usable(self) -> bool:
-        """Whether the connection is open and nothing waits on it."""
+        """Whether the connection is open and has no unread bytes."""
         return not self._poll(POLLIN | POLLRDHUP)
 
     def interrupt_receive(self) -> None:
-        """Have a task that waits to receive get :class:`Broken` at once.
+        """Make a pending ``receive`` return :class:`ReadFailure` at once.
 
-        A task that has been woken by bytes already is not disturbed, so no
-        request is cut that has begun to arrive.
+        A task that received bytes have already woken is not affected, so a
+        request that has begun to arrive is not interrupted.
         """
         trio.lowlevel.notify_closing(self._fd)
 
     def push_back(self, *events: MessageEvent) -> None:
-        """Have events come once more, before all others."""
+        """Return events to the front of the queue."""
         assert self._collector is not None
         self._collector.events.extendleft(reversed(events))
 
     def close(self) -> None:
-        """Close at once."""
-        # The number may soon be that of another connection.
+        """Close the connection without waiting."""
+        # The descriptor may soon be reused for another connection.
         self._fd = -1
         self._stream.socket.close()
 
     async def close_gracefully(self, grace: float) -> None:
-        """Tell the other end, and wait a bounded time until it has closed."""
+        """Shut down sending and wait until the peer has closed as well.
+
+        :param grace: how long to wait for the peer, in seconds.
+        """
         try:
             self._stream.socket.shutdown(SHUT_WR)
         except OSError:
@@ -169,15 +174,15 @@
                 self.received_bytes = 0
 
     async def _read(self) -> bytes:
-        """Next bytes; none when the connection is lost.
+        """Read the next bytes; none if the connection is lost.
 
-        Straight on the descriptor: trio's stream and socket take several
-        times as long on the way to the same two system calls.
+        This method uses the descriptor directly: trio's stream and socket
+        need several times as long to issue the same two system calls.
         """
         while self._fd >= 0:
             try:
                 await trio.lowlevel.wait_readable(self._fd)
-                return os.read(self._fd, READ_SIZE)
+                return os.read(self._fd, READ_SIZE_BYTES)
             except BlockingIOError:
                 continue
             except (trio.ClosedResourceError, OSError):
@@ -204,7 +209,7 @@
             return ReadFailure(str(error), HTTPStatus.BAD_REQUEST)
         if collector.is_between_messages or not collector.is_in_head:
             self._head_bytes = 0
-        # A head without end would fill the memory of this small VM.
+        # An endless head would exhaust the memory of a small VM.
         if self._head_bytes > self._max_head:
             return head_too_long(self._max_head)
         return None
--- a/libs/http/src/verbenamill_http/messages.py
+++ b/libs/http/src/verbenamill_http/messages.py
@@ -1,4 +1,4 @@
-"""Heads, bodies and framing of HTTP messages."""
+"""Data types and encoding of HTTP/1.1 messages."""
 
 from enum import Enum, unique
 from http import HTTPStatus
@@ -7,7 +7,8 @@
 
 Header = tuple[bytes, bytes]
 
-#: Headers of one connection only, which no proxy may pass on (RFC 9110 7.6.1).
+#: Headers that apply to a single connection and that a proxy must not forward
+#: (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -28,9 +29,9 @@
 
 
 class Framing(Struct, frozen=True):
-    """How the end of a body is told.
+    """How the end of a message body is determined.
 
-    :param length: bytes, when told before; ``None`` for a chunked body.
+    :param length: length of the body in bytes; ``None`` for a chunked body.
     """
 
     length: int | None = 0
@@ -41,7 +42,7 @@
 
 
 class RequestHead(Struct, kw_only=True):
-    """Head of a request; header names are in lower case."""
+    """Request line and headers; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -52,10 +53,10 @@
 
 
 class ResponseHead(Struct, kw_only=True):
-    """Head of an answer; header names are in lower case.
+    """Status line and headers; header names are in lower case.
 
-    :param is_framed: whether the end of the body can be told at all.
-    :param is_bodiless: whether the head is all, as after HEAD.
+    :param is_framed: whether the headers determine where the body ends.
+    :param is_bodiless: whether no body follows, as in a response to HEAD.
     """
 
     status: int
@@ -68,15 +69,15 @@
 
 @unique
 class EndOfBody(Enum):
-    """Marks the checked end of a body."""
+    """Event that marks the end of a complete message body."""
 
     END = 'end'
 
 
 class ReadFailure(Struct, frozen=True):
-    """A connection that cannot be read any further.
+    """Event that reports why a connection cannot be read any further.
 
-    :param status: what to answer, if the fault is the sender's.
+    :param status: status of the error response, if the sender is at fault.
     """
 
     reason: str
@@ -87,20 +88,26 @@
 
 
 def get_header(headers: list[Header], name: bytes) -> bytes | None:
-    """First value of a header, by its name in lower case."""
-    for known, value in headers:
-        if known == name:
+    """Return the first value of a header.
+
+    :param name: name of the header in lower case.
+    """
+    for key, value in headers:
+        if key == name:
             return value
     return None
 
 
 def get_all_headers(headers: list[Header], name: bytes) -> list[bytes]:
-    """All values of a header, by its name in lower case."""
-    return [value for known, value in headers if known == name]
+    """Return all values of a header.
+
+    :param name: name of the header in lower case.
+    """
+    return [value for key, value in headers if key == name]
 
 
 def parse_framing(headers: list[Header]) -> Framing:
-    """How a message ends, by its headers."""
+    """Determine the framing of a message from its headers."""
     for name, value in headers:
         if name == TRANSFER_ENCODING:
             return CHUNKED
@@ -110,26 +117,28 @@
 
 
 def end_to_end_headers(headers: list[Header]) -> list[Header]:
-    """Headers that a proxy passes on.
+    """Return the headers that a proxy forwards.
 
-    Hop-by-hop headers, those that ``Connection`` names, and our internal
-    ones go: the next hop would take them for our own.
+    Hop-by-hop headers, headers listed in ``Connection`` and the internal
+    headers of the mesh are removed: the next hop would otherwise assume that
+    this proxy had set them itself.
     """
-    dropped = HOP_BY_HOP
-    named = get_header(headers, b'connection')
-    if named is not None and named.lower() not in _PLAIN_CONNECTION:
-        names = (name.strip() for name in named.lower().split(b','))
-        dropped = HOP_BY_HOP.union(names)
+    excluded = HOP_BY_HOP
+    connection = get_header(headers, b'connection')
+    if connection is not None and connection.lower() not in _PLAIN_OPTIONS:
+        options = (option.strip() for option in connection.lower().split(b','))
+        excluded = HOP_BY_HOP.union(options)
     return [
         pair
         for pair in headers
-        if pair[0] not in dropped
+        if pair[0] not in excluded
         and pair[0] != CONTENT_LENGTH
         and not pair[0].startswith(INTERNAL_PREFIX)
     ]
 
 
-_PLAIN_CONNECTION = (b'keep-alive', b'close')
+#: Values of ``Connection`` that list no further headers.
+_PLAIN_OPTIONS = (b'keep-alive', b'close')
 
 
 def encode_request(
@@ -138,24 +147,25 @@
     headers: list[Header],
     framing: Framing,
 ) -> bytes:
-    """Head of a request as it goes over the wire."""
+    """Encode the head of a request for sending."""
     lines = [b'%b %b HTTP/1.1' % (method, target)]
     lines.extend(b'%b: %b' % pair for pair in headers)
     if framing.length is None:
         lines.append(b'transfer-encoding: chunked')
-    elif framing.length or method not in _BODILESS:
+    elif framing.length or method not in _METHODS_WITHOUT_BODY:
         lines.append(b'content-length: %d' % framing.length)
     lines.append(b'\r\n')
     return b'\r\n'.join(lines)
 
 
-_BODILESS = (b'GET', b'HEAD', b'OPTIONS', b'DELETE')
+_METHODS_WITHOUT_BODY = (b'GET', b'HEAD', b'OPTIONS', b'DELETE')
 
 
 def encode_response(head: ResponseHead, *, close: bool) -> bytes:
-    """Head of an answer as it goes over the wire.
+    """Encode the head of a response for sending.
 
-    :param close: tell the other end that the connection ends here.
+    :param close: whether to announce that the connection is closed after
+        this response.
     """
     lines = [_status_line(head.status)]
     lines.extend(b'%b: %b' % pair for pair in head.headers)
@@ -180,7 +190,7 @@
 
 
 def encode_chunk(body: bytes) -> bytes:
-    """One chunk of a chunked body."""
+    """Encode one chunk of a chunked body."""
     return b'%x\r\n%b\r\n' % (len(body), body)
 
 
--- a/libs/http/src/verbenamill_http/parsing.py
+++ b/libs/http/src/verbenamill_http/parsing.py
@@ -1,4 +1,4 @@
-"""Events of HTTP messages, from the callbacks of httptools."""
+"""Conversion of the callbacks of httptools into message events."""
 
 from collections import deque
 from http import HTTPStatus
@@ -16,14 +16,15 @@
     parse_framing,
 )
 
-_NO_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+_BODILESS_STATUSES = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 
 
 class _Collector:
-    """Turns the parser's callbacks into events.
+    """Collects the events that the parser reports through callbacks.
 
-    Bytes behind a message wait as events of the next one, so pipelined
-    requests are served one after the other; a single read bounds them.
+    Bytes that follow a message become events of the next message, so that
+    pipelined requests can be processed in order. The queue is limited to the
+    events of a single read.
     """
 
     def __init__(self, max_head: int) -> None:
@@ -41,8 +42,9 @@
         self.is_between_messages = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        # Trailers come through here as well, after the head; they are
-        # dropped, since a recipient must not merge them unseen.
+        # The parser also reports trailers here, after the head. They are
+        # dropped, because a recipient must not merge trailers into the
+        # headers without knowing their meaning.
         if self.is_in_head:
             self._head_size += len(name) + len(value)
             self.headers.append((name.lower(), value))
@@ -50,18 +52,20 @@
     def on_body(self, body: bytes) -> None:
         self.events.append(body)
 
-    def end_head(self, head: RequestHead | ResponseHead) -> None:
+    def add_head(self, head: RequestHead | ResponseHead) -> None:
         if self._head_size <= self._max_head:
             self.events.append(head)
         else:
             self.events.append(head_too_long(self._max_head))
 
-    def finish(self) -> None:
+    def end_message(self) -> None:
         self.is_between_messages = True
         self.events.append(EndOfBody.END)
 
 
 class RequestCollector(_Collector):
+    """Collects the events of consecutive requests."""
+
     def __init__(self, max_head: int) -> None:
         super().__init__(max_head)
         self.parser = HttpRequestParser(self)
@@ -76,17 +80,18 @@
         self._target += target
 
     def on_message_complete(self) -> None:
-        self.finish()
+        self.end_message()
 
     def on_headers_complete(self) -> None:
         self.is_in_head = False
         if self.parser.should_upgrade():
-            # The parser takes no body behind an upgrade, whatever its
-            # length says, so what follows cannot be told from a request.
-            fault = ReadFailure(
+            # The parser reads no body after an upgrade, whatever the length
+            # header says, so a body could not be distinguished from the next
+            # request.
+            failure = ReadFailure(
                 'upgrade is refused', HTTPStatus.NOT_IMPLEMENTED
             )
-            self.events.append(fault)
+            self.events.append(failure)
             return
         head = RequestHead(
             method=self.parser.get_method(),
@@ -96,14 +101,16 @@
             framing=parse_framing(self.headers),
             keep_alive=self.parser.should_keep_alive(),
         )
-        self.end_head(head)
+        self.add_head(head)
 
 
 class ResponseCollector(_Collector):
-    """One answer, with a parser of its own.
+    """Collects the events of a single response.
+
+    Each response gets a parser of its own: the parser cannot be told that a
+    response to HEAD has no body, so it must not read beyond such a response.
 
-    The parser cannot be told that an answer to HEAD has no body, so it must
-    not read on behind one.
+    :param is_bodiless: whether no body follows, as in a response to HEAD.
     """
 
     def __init__(self, max_head: int, *, is_bodiless: bool) -> None:
@@ -119,7 +126,7 @@
         if self._is_interim:
             return
         names = {name for name, _ in self.headers}
-        is_bodiless = self._is_bodiless or status in _NO_BODY
+        is_bodiless = self._is_bodiless or status in _BODILESS_STATUSES
         head = ResponseHead(
             status=status,
             headers=self.headers,
@@ -128,17 +135,17 @@
             is_framed=is_bodiless or not FRAMING_HEADERS.isdisjoint(names),
             is_bodiless=is_bodiless,
         )
-        self.end_head(head)
+        self.add_head(head)
         if self._is_bodiless:
-            self.finish()
+            self.end_message()
 
     def on_message_complete(self) -> None:
         if not self._is_interim and not self._is_bodiless:
-            self.finish()
+            self.end_message()
 
 
 def head_too_long(max_head: int) -> ReadFailure:
-    """Fault of a head over the limit."""
+    """Return the failure of a message whose head exceeds the limit."""
     return ReadFailure(
         f'head is longer than {max_head} bytes',
         HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
--- a/libs/http/src/verbenamill_http/served.py
+++ b/libs/http/src/verbenamill_http/served.py
@@ -1,4 +1,4 @@
-"""One connection that is served: its requests in, its answers out, its end."""
+"""Server side of a connection: reads requests and sends the responses."""
 
 import socket
 from contextlib import suppress
@@ -8,7 +8,6 @@
 import trio
 from httptools import HttpParserError, HttpParserUpgrade
 
-from verbenamill_http.exchanges import Request, Response, ServerLimits
 from verbenamill_http.messages import (
     EMPTY_BODY,
     EndOfBody,
@@ -20,197 +19,214 @@
     get_header,
 )
 from verbenamill_http.parsing import RequestCollector, head_too_long
+from verbenamill_http.server_types import Request, Response, ServerLimits
 from verbenamill_http.sockets import unacknowledged_bytes
 
-READ_SIZE = 64 * 1024
-#: Requests of one connection that are worked on at once; more wait unread.
+READ_SIZE_BYTES = 64 * 1024
+#: Largest number of requests of one connection that are handled concurrently;
+#: further requests are not read until a response has been sent.
 MAX_PIPELINED = 32
-#: Bytes of request bodies held at once; beyond it new ones are refused, so
-#: that a few large uploads cannot end the process on a small VM.
-MAX_BUFFERED = 64 * 1024 * 1024
-#: Longest that a peer may take no byte of its answer, in seconds.
-SEND_TIMEOUT = 10.0
-#: How long a connection stays open once its peer's kernel has the last answer,
-#: in seconds: the peer may still send, which must not reset what it reads.
-_LINGER = 1.0
-#: How often it is looked whether the peer's kernel has it, in seconds.
-_LOOK = 0.1
+#: Limit on the request bodies that the server holds in memory. Requests beyond
+#: it are rejected, so that a few large uploads cannot exhaust the memory of a
+#: small VM.
+MAX_BUFFERED_BYTES = 64 * 1024 * 1024
+#: How long a client may accept no byte of its response.
+SEND_TIMEOUT_S = 10.0
+#: How long a connection stays open after the client's kernel has acknowledged
+#: the last response. The client may still be sending, and bytes that arrive at
+#: a closed socket would reset the connection before it has read the response.
+_LINGER_S = 1.0
+#: How often to check whether the last response has been acknowledged.
+_POLL_INTERVAL_S = 0.1
 _CONTINUE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
-_NO_BODY = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
-_TOO_SLOW = ReadFailure('the request is too slow', HTTPStatus.REQUEST_TIMEOUT)
-_TOO_LARGE = ReadFailure(
+_BODILESS_STATUSES = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
+_REQUEST_TOO_SLOW = ReadFailure(
+    'the request is too slow', HTTPStatus.REQUEST_TIMEOUT
+)
+_BODY_TOO_LARGE = ReadFailure(
     'the body is too large',
     HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
 )
-_NO_MEMORY = ReadFailure(
+_BUFFER_FULL = ReadFailure(
     'too many request bodies are held',
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
-_STOPPING = ReadFailure('the server stops', HTTPStatus.SERVICE_UNAVAILABLE)
+_SERVER_STOPPING = ReadFailure(
+    'the server stops', HTTPStatus.SERVICE_UNAVAILABLE
+)
 
 
-class Serving(Protocol):
-    """The server of a connection, as the connection sees it.
+class Server(Protocol):
+    """The part of the server's interface that a connection uses.
 
-    :ivar buffered: bytes of request bodies held, over all connections.
-    :ivar is_stopping: whether answers end their connections.
+    :ivar buffered_bytes: size of the request bodies in memory, over all
+        connections.
+    :ivar is_stopping: whether connections are closed after their responses.
     """
 
-    buffered: int
+    buffered_bytes: int
     is_stopping: bool
 
     @property
-    def is_finishing(self) -> bool:
-        """Whether a connection gets one further request at most."""
+    def is_shutting_down(self) -> bool:
+        """Whether a connection accepts at most one further request."""
 
-    def refuses(self, head: RequestHead) -> bool:
-        """Whether a request that comes only now is refused."""
+    def rejects(self, head: RequestHead) -> bool:
+        """Whether a request that arrives now is rejected."""
 
     async def handle(self, request: Request) -> Response:
-        """Have a request answered."""
+        """Handle a request and return the response."""
 
     def limits(self) -> ServerLimits:
-        """Limits of now."""
+        """Return the current limits."""
 
 
-class ServedConnection:
-    """One connection that is served.
+class ServerConnection:
+    """Serves the requests of one connection.
 
-    :ivar waits_since: when it began to wait for bytes.
+    :ivar waiting_since: when the connection began to wait for bytes.
     """
 
-    def __init__(self, sock: socket.socket, server: Serving) -> None:
+    def __init__(self, sock: socket.socket, server: Server) -> None:
         self._sock = sock
         self._server = server
         self._collector = RequestCollector(server.limits().max_head)
         self._head: RequestHead | None = None
-        self._parts: list[bytes] = []
-        self._size = 0
+        self._body_parts: list[bytes] = []
+        self._body_size = 0
         self._head_bytes = 0
-        self._arrived = float(0)
-        self._in_flight = 0
-        self._last_turn: trio.Event | None = None
-        self._room = trio.Event()
-        self._is_dismissed = False
-        self._is_ending = False
+        self._request_started_at = float(0)
+        self._active_requests = 0
+        self._last_response_sent: trio.Event | None = None
+        self._slot_freed = trio.Event()
+        self._is_interrupted = False
+        self._is_closing = False
         self._is_sending = False
-        self._scope: trio.CancelScope | None = None
-        self.waits_since = trio.current_time()
+        self._cancel_scope: trio.CancelScope | None = None
+        self.waiting_since = trio.current_time()
 
     @property
     def is_idle(self) -> bool:
-        """Whether it waits for a request and none has begun.
+        """Whether the connection waits for a request and none has begun.
 
-        An answer that its peer takes slowly is not in flight any more, and
-        would end in its midst if its connection were closed as idle. After
-        the last one, the kernel may still be sending it.
+        A response that the client reads slowly does not belong to an active
+        request any more, but closing the connection as idle would truncate
+        it. After the last response the kernel may still be sending it.
         """
-        is_answering = self._in_flight or self._is_sending or self._is_ending
-        return not (is_answering or self._has_begun)
+        is_responding = (
+            self._active_requests or self._is_sending or self._is_closing
+        )
+        return not (is_responding or self._has_partial_request)
 
     @property
-    def _has_begun(self) -> bool:
-        """Whether part of a further request has come."""
+    def _has_partial_request(self) -> bool:
+        """Whether part of another request has been received."""
         return self._head is not None or not self._collector.is_between_messages
 
     async def serve(self) -> None:
-        """Read requests and answer them until the connection ends."""
+        """Read requests and send responses until the connection ends."""
         async with trio.open_nursery() as nursery:
-            self._scope = nursery.cancel_scope
+            self._cancel_scope = nursery.cancel_scope
             await self._read_requests(nursery)
             nursery.cancel_scope.cancel()
 
     def close(self) -> None:
-        """Close at once."""
-        self._server.buffered -= self._size
-        self._size = 0
+        """Close the connection without waiting."""
+        self._server.buffered_bytes -= self._body_size
+        self._body_size = 0
         self._sock.close()
 
-    def dismiss(self) -> None:
-        """End the wait for a request, unless one has begun to come."""
+    def interrupt_wait(self) -> None:
+        """Stop waiting for a request, unless bytes of one have arrived."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            self._is_dismissed = True
+            self._is_interrupted = True
             trio.lowlevel.notify_closing(self._sock)
         except OSError:
             return
 
-    def take_no_more(self) -> None:
-        """Begin no request behind those in hand.
+    def stop_reading_requests(self) -> None:
+        """Start no request after the active ones.
 
-        A peer that always sends the next one before it has its answer would
-        never be told of the end, and its last requests would be cut with the
-        process. The last answer in hand tells it: what was sent behind that
-        counts as not read, so it is sent again elsewhere.
+        A client that always sends the next request before it has received
+        the previous response would never learn of the shutdown, and its last
+        requests would be aborted when the process exits. The last response
+        closes the connection instead: the client knows that later requests
+        were not read and can send them again elsewhere.
         """
-        if self._in_flight:
-            self._is_ending = True
-            self._drop_body()
-
-    def check_times(self, limits: ServerLimits, now: float) -> None:
-        """End a connection that is slow or idle for too long."""
-        if self._is_ending or self._is_sending:
-            # Its last answer ends it. What is not read any more, or stalls
-            # behind an answer on its way, may look like a slow request; ended
-            # for that, the answer would be cut.
+        if self._active_requests:
+            self._is_closing = True
+            self._discard_body()
+
+    def enforce_timeouts(self, limits: ServerLimits, now: float) -> None:
+        """Close the connection if it is slow or idle for too long."""
+        if self._is_closing or self._is_sending:
+            # A connection that is closing ends with its last response. Bytes
+            # that are not read any more, or that stall while a response is
+            # being sent, may look like a slow request; closing the connection
+            # for that reason would truncate the response.
             return
-        waited = now - self.waits_since
+        waiting_time = now - self.waiting_since
         if self.is_idle:
-            if waited > limits.idle_timeout:
-                self.dismiss()
+            if waiting_time > limits.idle_timeout:
+                self.interrupt_wait()
         elif self._head is None and not self._collector.is_between_messages:
-            if now - self._arrived > limits.head_timeout:
-                self._is_dismissed = True
+            if now - self._request_started_at > limits.head_timeout:
+                self._is_interrupted = True
                 trio.lowlevel.notify_closing(self._sock)
-        elif self._head is not None and waited > limits.head_timeout:
-            self._is_dismissed = True
+        elif self._head is not None and waiting_time > limits.head_timeout:
+            self._is_interrupted = True
             trio.lowlevel.notify_closing(self._sock)
 
     async def _read_requests(self, nursery: trio.Nursery) -> None:
         while True:
-            while self._in_flight >= MAX_PIPELINED:
-                self._room = trio.Event()
-                await self._room.wait()
+            while self._active_requests >= MAX_PIPELINED:
+                self._slot_freed = trio.Event()
+                await self._slot_freed.wait()
             data = await self._read()
-            if not data or self._has_ended():
+            if not data or self._peer_has_closed():
                 break
-            if self._is_ending:
-                # What comes behind the last request is not read any more.
+            if self._is_closing:
+                # Bytes after the last request are discarded.
                 continue
-            fault = self._feed(data)
-            self._take_events(nursery)
-            if fault is not None and not self._is_ending:
-                self._reject(nursery, fault)
-        if self._is_dismissed and not self.is_idle and not self._is_ending:
-            await self._answer_fault(_TOO_SLOW, self._last_turn, trio.Event())
+            failure = self._feed(data)
+            self._process_events(nursery)
+            if failure is not None and not self._is_closing:
+                self._reject(nursery, failure)
+        if self._is_interrupted and not self.is_idle and not self._is_closing:
+            await self._send_error(
+                _REQUEST_TOO_SLOW, self._last_response_sent, trio.Event()
+            )
 
     async def _read(self) -> bytes:
         while True:
-            # A request may have come since the wait was ended, on a busy loop
-            # long before. Closed on it, its sender would get no answer; so
-            # what has come is read, and only then the connection ends.
+            # On a busy event loop, a request may arrive long after the wait
+            # was interrupted and before this task runs. Closing the
+            # connection would leave it without a response, so bytes that have
+            # arrived are read before the connection ends.
             try:
                 with suppress(trio.ClosedResourceError):
                     await trio.lowlevel.wait_readable(self._sock)
-                data = self._sock.recv(READ_SIZE)
+                data = self._sock.recv(READ_SIZE_BYTES)
             except BlockingIOError:
-                if self._is_dismissed:
+                if self._is_interrupted:
                     return b''
                 continue
             except OSError:
                 return b''
-            self._is_dismissed = False
-            self.waits_since = trio.current_time()
+            self._is_interrupted = False
+            self.waiting_since = trio.current_time()
             return data
 
-    def _has_ended(self) -> bool:
-        """Whether the peer has closed behind what was just read.
+    def _peer_has_closed(self) -> bool:
+        """Whether the client has closed the connection after the last bytes.
 
-        A lost packet can hold a request up until its sender has given up;
-        the request and the end then arrive together. Begun, it would reach
-        an upstream long after its caller has left.
+        A lost packet can delay a request until its sender has given up; the
+        request and the end of the connection then arrive together. If the
+        request were started, it would reach an upstream long after its caller
+        has left.
         """
         try:
             return not self._sock.recv(1, socket.MSG_PEEK)
@@ -222,7 +238,7 @@
     def _feed(self, data: bytes) -> ReadFailure | None:
         collector = self._collector
         if collector.is_between_messages:
-            self._arrived = self.waits_since
+            self._request_started_at = self.waiting_since
         max_head = self._server.limits().max_head
         if collector.is_in_head:
             self._head_bytes += len(data)
@@ -238,144 +254,163 @@
             return head_too_long(max_head)
         return None
 
-    def _take_events(self, nursery: trio.Nursery) -> None:
+    def _process_events(self, nursery: trio.Nursery) -> None:
         events = self._collector.events
-        while events and not self._is_ending:
+        while events and not self._is_closing:
             event = events.popleft()
             if isinstance(event, bytes):
                 self._add_body(event, nursery)
             elif isinstance(event, RequestHead):
-                self._begin(event, nursery)
+                self._process_head(event, nursery)
             elif event is EndOfBody.END:
-                self._finish_request(nursery)
+                self._start_request(nursery)
             else:
                 assert isinstance(event, ReadFailure)
                 self._reject(nursery, event)
 
-    def _begin(self, head: RequestHead, nursery: trio.Nursery) -> None:
+    def _process_head(self, head: RequestHead, nursery: trio.Nursery) -> None:
         self._head = head
-        self._parts = []
+        self._body_parts = []
         length = head.framing.length
         limits = self._server.limits()
-        if self._server.refuses(head):
-            self._reject(nursery, _STOPPING)
+        if self._server.rejects(head):
+            self._reject(nursery, _SERVER_STOPPING)
             return
         if length is not None and length > limits.max_body:
-            self._reject(nursery, _TOO_LARGE)
+            self._reject(nursery, _BODY_TOO_LARGE)
             return
         expected = get_header(head.headers, b'expect')
         if expected is not None and expected.lower() == b'100-continue':
-            previous = self._last_turn
-            turn = trio.Event()
-            self._last_turn = turn
-            nursery.start_soon(self._invite, head, previous, turn)
+            previous_sent = self._last_response_sent
+            response_sent = trio.Event()
+            self._last_response_sent = response_sent
+            nursery.start_soon(
+                self._send_continue, head, previous_sent, response_sent
+            )
 
-    async def _invite(
+    async def _send_continue(
         self,
         head: RequestHead,
-        previous: trio.Event | None,
-        turn: trio.Event,
+        previous_sent: trio.Event | None,
+        response_sent: trio.Event,
     ) -> None:
-        """Ask for a body, in its turn: sent at once, the line would stand in
-        the midst of an earlier answer."""
-        if previous is not None:
-            await previous.wait()
+        """Send ``100 Continue`` after all earlier responses.
+
+        Sent immediately, it would appear in the middle of an earlier
+        response.
+        """
+        if previous_sent is not None:
+            await previous_sent.wait()
         if self._head is head:
             await self._send_all(_CONTINUE)
-        turn.set()
+        response_sent.set()
 
     def _add_body(self, data: bytes, nursery: trio.Nursery) -> None:
-        self._parts.append(data)
-        self._size += len(data)
-        self._server.buffered += len(data)
-        if self._size > self._server.limits().max_body:
-            self._reject(nursery, _TOO_LARGE)
-        elif self._server.buffered > MAX_BUFFERED:
-            self._reject(nursery, _NO_MEMORY)
-
-    def _drop_body(self) -> None:
-        """Forget what has come of a body that is not read any more."""
-        self._parts = []
-        self._server.buffered -= self._size
-        self._size = 0
-
-    def _finish_request(self, nursery: trio.Nursery) -> None:
+        self._body_parts.append(data)
+        self._body_size += len(data)
+        self._server.buffered_bytes += len(data)
+        if self._body_size > self._server.limits().max_body:
+            self._reject(nursery, _BODY_TOO_LARGE)
+        elif self._server.buffered_bytes > MAX_BUFFERED_BYTES:
+            self._reject(nursery, _BUFFER_FULL)
+
+    def _discard_body(self) -> None:
+        """Discard the received part of a body that is not read any more."""
+        self._body_parts = []
+        self._server.buffered_bytes -= self._body_size
+        self._body_size = 0
+
+    def _start_request(self, nursery: trio.Nursery) -> None:
         head = self._head
         assert head is not None
-        if self._server.refuses(head):
-            # Begun, it might be cut at work with the process, and its caller
-            # could not know whether it has run. A refusal tells that.
-            self._reject(nursery, _STOPPING)
+        if self._server.rejects(head):
+            # If the request were started now, the process could exit while it
+            # runs, and its caller could not know whether it was executed. The
+            # rejection proves that it was not.
+            self._reject(nursery, _SERVER_STOPPING)
             return
         request = Request(
             head=head,
-            body=b''.join(self._parts),
-            received_at=self._arrived,
+            body=b''.join(self._body_parts),
+            received_at=self._request_started_at,
         )
         self._head = None
-        self._parts = []
-        size = self._size
-        self._size = 0
-        self._arrived = self.waits_since
-        turn = trio.Event()
-        previous = self._last_turn
-        self._last_turn = turn
-        self._in_flight += 1
-        self._is_ending = not head.keep_alive or self._server.is_finishing
-        nursery.start_soon(self._answer, request, size, previous, turn)
-
-    async def _answer(
+        self._body_parts = []
+        body_size = self._body_size
+        self._body_size = 0
+        self._request_started_at = self.waiting_since
+        response_sent = trio.Event()
+        previous_sent = self._last_response_sent
+        self._last_response_sent = response_sent
+        self._active_requests += 1
+        self._is_closing = not head.keep_alive or self._server.is_shutting_down
+        nursery.start_soon(
+            self._respond, request, body_size, previous_sent, response_sent
+        )
+
+    async def _respond(
         self,
         request: Request,
-        size: int,
-        previous: trio.Event | None,
-        turn: trio.Event,
+        body_size: int,
+        previous_sent: trio.Event | None,
+        response_sent: trio.Event,
     ) -> None:
         try:
             response = await self._server.handle(request)
         finally:
-            self._server.buffered -= size
-        if previous is not None and not previous.is_set():
-            await previous.wait()
-        self._in_flight -= 1
-        self._room.set()
-        is_last = self._last_turn is turn
-        stops = self._server.is_stopping and is_last and not self._has_begun
-        close = response.close or stops or (is_last and self._is_ending)
-        # The next request may come while a slow peer takes the answer. Begun,
-        # it would be cut when the answer is out; now it counts as not read.
-        self._is_ending = self._is_ending or close
+            self._server.buffered_bytes -= body_size
+        if previous_sent is not None and not previous_sent.is_set():
+            await previous_sent.wait()
+        self._active_requests -= 1
+        self._slot_freed.set()
+        is_last = self._last_response_sent is response_sent
+        closes_for_shutdown = (
+            self._server.is_stopping
+            and is_last
+            and not self._has_partial_request
+        )
+        close = (
+            response.close
+            or closes_for_shutdown
+            or (is_last and self._is_closing)
+        )
+        # The next request may arrive while a slow client reads this response.
+        # If it were started, closing the connection after this response would
+        # abort it; since it is not read, the client can repeat it.
+        self._is_closing = self._is_closing or close
         sent = await self._send(response, close=close)
-        self.waits_since = trio.current_time()
-        turn.set()
+        self.waiting_since = trio.current_time()
+        response_sent.set()
         if close or not sent:
-            await self._end(sent=sent)
-
-    def _reject(self, nursery: trio.Nursery, fault: ReadFailure) -> None:
-        """Answer a message that cannot be read, behind all others."""
-        self._is_ending = True
-        self._drop_body()
-        previous = self._last_turn
-        turn = trio.Event()
-        self._last_turn = turn
-        nursery.start_soon(self._answer_fault, fault, previous, turn)
-
-    async def _answer_fault(
+            await self._close_after_response(sent=sent)
+
+    def _reject(self, nursery: trio.Nursery, failure: ReadFailure) -> None:
+        """Send an error response after all earlier responses, then close."""
+        self._is_closing = True
+        self._discard_body()
+        previous_sent = self._last_response_sent
+        response_sent = trio.Event()
+        self._last_response_sent = response_sent
+        nursery.start_soon(
+            self._send_error, failure, previous_sent, response_sent
+        )
+
+    async def _send_error(
         self,
-        fault: ReadFailure,
-        previous: trio.Event | None,
-        turn: trio.Event,
+        failure: ReadFailure,
+        previous_sent: trio.Event | None,
+        response_sent: trio.Event,
     ) -> None:
-        if previous is not None:
-            await previous.wait()
-        if fault.status is not None:
+        if previous_sent is not None:
+            await previous_sent.wait()
+        if failure.status is not None:
             response = Response(
-                status=fault.status,
-                body=fault.reason.encode(),
+                status=failure.status,
+                body=failure.reason.encode(),
             )
             await self._send(response, close=True)
-        turn.set()
-        await self._end(sent=True)
+        response_sent.set()
+        await self._close_after_response(sent=True)
 
     async def _send(self, response: Response, *, close: bool) -> bool:
         body = b'' if response.is_bodiless else response.body
@@ -387,7 +422,7 @@
             headers=response.headers,
             framing=Framing(length) if length else EMPTY_BODY,
             keep_alive=True,
-            is_bodiless=response.status in _NO_BODY,
+            is_bodiless=response.status in _BODILESS_STATUSES,
         )
         return await self._send_all(encode_response(head, close=close) + body)
 
@@ -411,30 +446,31 @@
         return True
 
     async def _wait_writable(self) -> bool:
-        """Wait until the peer takes more; ``False`` if it takes too long."""
-        with trio.move_on_after(SEND_TIMEOUT):
-            # Who ends the wait for a request wakes this one too.
+        """Wait until the socket accepts more; ``False`` after a time limit."""
+        with trio.move_on_after(SEND_TIMEOUT_S):
+            # Interrupting the wait for a request interrupts this wait as well.
             with suppress(trio.ClosedResourceError):
                 await trio.lowlevel.wait_writable(self._sock)
             return True
         return False
 
-    async def _end(self, *, sent: bool) -> None:
-        """End the connection behind an answer.
+    async def _close_after_response(self, *, sent: bool) -> None:
+        """Close the connection after a response.
 
-        A socket that is closed with unread bytes is reset, which could take
-        the answer away from a peer that has not read it yet. The task that
-        reads goes on, and ends all as soon as the peer has closed.
+        Closing a socket with unread bytes resets the connection, so a client
+        that has not read the response yet could lose it. Meanwhile the
+        reading task continues, and it ends the connection as soon as the
+        client has closed it.
         """
-        assert self._scope is not None
-        self._is_ending = True
+        assert self._cancel_scope is not None
+        self._is_closing = True
         if sent:
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:
-                self._scope.cancel()
-            with trio.move_on_after(SEND_TIMEOUT):
+                self._cancel_scope.cancel()
+            with trio.move_on_after(SEND_TIMEOUT_S):
                 while unacknowledged_bytes(self._sock):
-                    await trio.sleep(_LOOK)
-            await trio.sleep(_LINGER)
-        self._scope.cancel()
+                    await trio.sleep(_POLL_INTERVAL_S)
+            await trio.sleep(_LINGER_S)
+        self._cancel_scope.cancel()
--- a/libs/http/src/verbenamill_http/server.py
+++ b/libs/http/src/verbenamill_http/server.py
@@ -1,45 +1,49 @@
-"""A server of HTTP/1.1 that answers pipelined requests side by side."""
+"""HTTP/1.1 server that handles pipelined requests concurrently."""
 
 import socket
 from collections.abc import Callable
 
 import trio
 
-from verbenamill_http.exchanges import (
+from verbenamill_http.messages import RequestHead
+from verbenamill_http.served import ServerConnection
+from verbenamill_http.server_types import (
     Handler,
     Request,
     Response,
     ServerLimits,
 )
-from verbenamill_http.messages import RequestHead
-from verbenamill_http.served import ServedConnection
 from verbenamill_http.sockets import set_tcp_options
 
 __all__ = ('Handler', 'HttpServer', 'Request', 'Response', 'ServerLimits')
 
-#: How often slow and idle connections are looked for, in seconds.
-_SWEEP = 0.25
-#: Age up to which an idle connection may have a request on its way, and time
-#: from the end of accepting on in which requests that come are still begun.
-_FRESH = 0.4
+#: How often to look for slow and idle connections.
+_SWEEP_INTERVAL_S = 0.25
+#: How long a request may be in transit: a connection that has been idle for
+#: less may have a request on its way, and requests that arrive within this time
+#: after the start of a shutdown are still handled.
+_IN_TRANSIT_S = 0.4
 
 
-def _admit_none(head: RequestHead) -> bool:
+def _admit_no_late(head: RequestHead) -> bool:
     return False
 
 
-def _close_at_once() -> bool:
+def _never() -> bool:
     return False
 
 
 class HttpServer:
     """Serves one listening socket.
 
-    A request is handled in a task of its own, which is cancelled when its
-    peer closes the connection. Answers go out in the order of the requests.
+    Each request is handled in a separate task, which is cancelled when the
+    client closes the connection. Responses are sent in the order of the
+    requests.
 
-    :param limits: asked again for each use, since they may change.
-    :param on_fault: told of an unexpected exception in a handler.
+    :param limits: returns the current limits; called for each use, because
+        the limits may change.
+    :param on_error: called with each unexpected exception of a handler and
+        each error of accepting a connection.
     """
 
     def __init__(
@@ -51,33 +55,36 @@
     ) -> None:
         self._handler = handler
         self._limits = limits
-        self._on_fault = on_error
-        self._served: set[ServedConnection] = set()
-        self._accepting: trio.CancelScope | None = None
+        self._on_error = on_error
+        self._connections: set[ServerConnection] = set()
+        self._accept_scope: trio.CancelScope | None = None
         self._nursery: trio.Nursery | None = None
-        self.buffered = 0
-        self.in_hand = 0
+        self.buffered_bytes = 0
+        self.active_requests = 0
         self.is_stopping = False
-        self._finishes_since: float | None = None
-        self._admits: Callable[[RequestHead], bool] = _admit_none
-        self._refuses_late = True
+        self._shutdown_started_at: float | None = None
+        self._admit_late: Callable[[RequestHead], bool] = _admit_no_late
+        self._reject_late = True
 
     @property
-    def is_finishing(self) -> bool:
-        """Whether a connection gets one further request at most."""
-        return self._finishes_since is not None
-
-    def refuses(self, head: RequestHead) -> bool:
-        """Whether a request that comes only now is refused."""
-        since = self._finishes_since
-        if since is None or not self._refuses_late:
+    def is_shutting_down(self) -> bool:
+        """Whether a connection accepts at most one further request."""
+        return self._shutdown_started_at is not None
+
+    def rejects(self, head: RequestHead) -> bool:
+        """Whether a request that arrives now is rejected."""
+        started_at = self._shutdown_started_at
+        if started_at is None or not self._reject_late:
             return False
-        return trio.current_time() > since + _FRESH and not self._admits(head)
+        return (
+            trio.current_time() > started_at + _IN_TRANSIT_S
+            and not self._admit_late(head)
+        )
 
     @property
     def connections(self) -> int:
-        """Open connections."""
-        return len(self._served)
+        """Number of open connections."""
+        return len(self._connections)
 
     async def serve(self, listener: socket.socket) -> None:
         """Accept connections until cancelled."""
@@ -85,10 +92,10 @@
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self._sweep)
-                with trio.CancelScope() as accepting:
-                    self._accepting = accepting
+                with trio.CancelScope() as accept_scope:
+                    self._accept_scope = accept_scope
                     await self._accept(listener, nursery)
-                _accept_waiting(listener, self, nursery)
+                _accept_pending(listener, self, nursery)
                 listener.close()
         finally:
             listener.close()
@@ -97,56 +104,56 @@
         self,
         *,
         reject_late: bool = True,
-        admit_late: Callable[[RequestHead], bool] = _admit_none,
-        keep_accepting: Callable[[], bool] = _close_at_once,
+        admit_late: Callable[[RequestHead], bool] = _admit_no_late,
+        keep_accepting: Callable[[], bool] = _never,
     ) -> None:
-        """Take no further connection and wait until all have ended.
+        """Stop accepting connections and wait until all have ended.
 
-        Connections that wait for a request are closed, unless one may be on
-        its way: its sender would see the end of the connection instead of
-        an answer. Where a request is in hand, none is begun behind it.
+        Idle connections are closed, unless a request may be in transit: its
+        sender would see the end of the connection instead of a response. On a
+        connection with an active request, no further request is started.
 
-        :param refuses_late: whether requests that come late are refused here;
-            otherwise the handler has to.
-        :param admits: tells a late request that is served all the same.
-        :param keeps_open: whether such requests may still come, so that
-            connections are taken.
+        :param reject_late: whether the server rejects late requests;
+            otherwise the handler has to reject them.
+        :param admit_late: whether a late request is handled nevertheless.
+        :param keep_accepting: whether such requests may still arrive; until
+            it returns ``False``, new connections are accepted.
         """
         self.is_stopping = True
-        self._refuses_late = reject_late
-        self._admits = admit_late
-        self._finishes_since = trio.current_time()
-        for connection in self._served:
-            connection.take_no_more()
+        self._reject_late = reject_late
+        self._admit_late = admit_late
+        self._shutdown_started_at = trio.current_time()
+        for connection in self._connections:
+            connection.stop_reading_requests()
         while keep_accepting():
-            self.dismiss_idle(_FRESH)
-            await trio.sleep(_SWEEP / 8)
-        if self._accepting is not None:
-            self._accepting.cancel()
-        await trio.sleep(_SWEEP / 4)
-        while self._served:
-            self.dismiss_idle(_FRESH)
-            await trio.sleep(_SWEEP / 8)
-
-    def dismiss_idle(self, idle_for: float) -> None:
-        """Close connections on which nothing happens.
-
-        :param idle_for: least time since the last request, in seconds.
+            self.close_idle(_IN_TRANSIT_S)
+            await trio.sleep(_SWEEP_INTERVAL_S / 8)
+        if self._accept_scope is not None:
+            self._accept_scope.cancel()
+        await trio.sleep(_SWEEP_INTERVAL_S / 4)
+        while self._connections:
+            self.close_idle(_IN_TRANSIT_S)
+            await trio.sleep(_SWEEP_INTERVAL_S / 8)
+
+    def close_idle(self, idle_for: float) -> None:
+        """Close idle connections.
+
+        :param idle_for: minimum time since the last activity, in seconds.
         """
         oldest = trio.current_time() - idle_for
-        for connection in list(self._served):
-            if connection.is_idle and connection.waits_since <= oldest:
-                connection.dismiss()
+        for connection in list(self._connections):
+            if connection.is_idle and connection.waiting_since <= oldest:
+                connection.interrupt_wait()
 
     def start_serving(self, sock: socket.socket, nursery: trio.Nursery) -> None:
-        """Serve a connection that was accepted."""
-        if len(self._served) >= self._limits().max_connections:
+        """Start serving an accepted connection."""
+        if len(self._connections) >= self._limits().max_connections:
             sock.close()
             return
         sock.setblocking(False)
         set_tcp_options(sock)
-        connection = ServedConnection(sock, self)
-        self._served.add(connection)
+        connection = ServerConnection(sock, self)
+        self._connections.add(connection)
         nursery.start_soon(self._serve, connection)
 
     async def _accept(
@@ -161,49 +168,50 @@
             except BlockingIOError:
                 continue
             except OSError as error:
-                # Out of descriptors, or a peer that has gone already.
-                self._on_fault(error)
-                await trio.sleep(_SWEEP / 8)
+                # The process has no free descriptors, or the client has
+                # already closed the connection.
+                self._on_error(error)
+                await trio.sleep(_SWEEP_INTERVAL_S / 8)
                 continue
             self.start_serving(sock, nursery)
 
-    async def _serve(self, connection: ServedConnection) -> None:
+    async def _serve(self, connection: ServerConnection) -> None:
         try:
             await connection.serve()
         except Exception as error:  # noqa: BLE001
-            # A fault in one request must not end those of all others.
-            self._on_fault(error)
+            # An error in one request must not affect other connections.
+            self._on_error(error)
         finally:
-            self._served.discard(connection)
+            self._connections.discard(connection)
             connection.close()
 
     async def _sweep(self) -> None:
         while True:
-            await trio.sleep(_SWEEP)
+            await trio.sleep(_SWEEP_INTERVAL_S)
             limits = self._limits()
             now = trio.current_time()
-            for connection in list(self._served):
-                connection.check_times(limits, now)
+            for connection in list(self._connections):
+                connection.enforce_timeouts(limits, now)
 
     async def handle(self, request: Request) -> Response:
-        """Have a request answered."""
-        self.in_hand += 1
+        """Handle a request and return the response."""
+        self.active_requests += 1
         try:
             return await self._handler(request)
         finally:
-            self.in_hand -= 1
+            self.active_requests -= 1
 
     def limits(self) -> ServerLimits:
-        """Limits of now."""
+        """Return the current limits."""
         return self._limits()
 
 
-def _accept_waiting(
+def _accept_pending(
     listener: socket.socket,
     server: HttpServer,
     nursery: trio.Nursery,
 ) -> None:
-    """Take what the kernel has accepted; it would be reset otherwise."""
+    """Accept the connections in the backlog, which would otherwise be reset."""
     while True:
         try:
             sock, _ = listener.accept()
--- a/libs/http/src/verbenamill_http/exchanges.py
+++ b/libs/http/src/verbenamill_http/server_types.py
@@ -1,4 +1,4 @@
-"""What a server is asked, what it answers, and within which bounds."""
+"""Requests, responses and limits of an HTTP server."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,9 +8,9 @@
 
 
 class Request(Struct, kw_only=True):
-    """A whole request.
+    """A complete request.
 
-    :param arrived: when its head was read, on trio's clock.
+    :param received_at: when its first bytes were read, on trio's clock.
     """
 
     head: RequestHead
@@ -19,9 +19,12 @@
 
 
 class Response(Struct, kw_only=True):
-    """An answer to send.
+    """A response to send.
 
-    :param is_bodiless: whether the body stays unsent, as after HEAD.
+    :param close: whether to close the connection after the response.
+    :param is_bodiless: whether the body is not sent, as in a response to
+        HEAD.
+    :param length: value of ``Content-Length`` if the body is not sent.
     """
 
     status: int
@@ -36,7 +39,10 @@
 
 
 class ServerLimits(Struct, frozen=True, kw_only=True):
-    """Bounds on what a peer may send; times are in seconds."""
+    """Limits on what a client may send.
+
+    Sizes are in bytes and times in seconds.
+    """
 
     max_head: int = 32 * 1024
     max_body: int = 64 * 1024 * 1024
--- a/libs/http/src/verbenamill_http/sockets.py
+++ b/libs/http/src/verbenamill_http/sockets.py
@@ -1,4 +1,4 @@
-"""TCP sockets as this project sets them."""
+"""TCP sockets with the options that the mesh uses."""
 
 import socket
 from array import array
@@ -9,24 +9,24 @@
 
 from verbenamill_http.addresses import Address
 
-#: Time that sent bytes may stay unacknowledged, in milliseconds. Behind a
-#: partition a connection would hang for minutes otherwise. The kernel also
-#: ends a connection by it as soon as it has asked one question of keepalive
-#: in vain, so it leaves time for two: one packet may be lost.
+#: How long sent bytes may stay unacknowledged. Without a limit a connection
+#: hangs for minutes during a network partition. The kernel also applies this
+#: limit once a keepalive probe has remained unanswered, so the limit leaves
+#: time for two probes: a single lost packet must not end the connection.
 USER_TIMEOUT_MS = 2500
-#: Idle time before the kernel asks whether the other end is there, and pause
-#: between two such questions, in seconds; the least that the kernel takes.
+#: Idle time before the first keepalive probe and interval between probes; the
+#: smallest values that the kernel accepts.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
 
 
 def set_tcp_options(sock: socket.socket, *, user_timeout_ms: int = 0) -> None:
-    """Have the kernel end a connection whose other end is out of reach.
+    """Disable Nagle's algorithm and enable detection of unreachable peers.
 
-    :param unacknowledged: how long sent bytes may stay unacknowledged, in
-        milliseconds. An end that is there and does not read acknowledges
-        nothing either, so with 0 that is left to the kernel's long default.
+    :param user_timeout_ms: how long sent bytes may stay unacknowledged, in
+        milliseconds. A reachable peer that does not read acknowledges no
+        bytes either; 0 keeps the long default of the kernel for such peers.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -44,7 +44,10 @@
 
 
 def unacknowledged_bytes(sock: socket.socket) -> int:
-    """Bytes that the other end has not acknowledged; 0 if nobody can tell."""
+    """Count the sent bytes that the peer has not acknowledged.
+
+    :return: the number of bytes; 0 if the kernel does not provide it.
+    """
     count = array('i', [0])
     try:
         ioctl(sock, TIOCOUTQ, count)
@@ -61,8 +64,8 @@
 ) -> socket.socket | None:
     """Open a connection; ``None`` if that fails or takes too long.
 
-    :param timeout: in seconds.
-    :param unacknowledged: see :func:`watch_peer`.
+    :param timeout: time limit in seconds.
+    :param user_timeout_ms: see :func:`set_tcp_options`.
     """
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
@@ -99,7 +102,7 @@
 def listen(address: Address, backlog: int = 512) -> socket.socket:
     """Open a listening socket.
 
-    :raises OSError: if the address cannot be had.
+    :raises OSError: if the address cannot be bound.
     """
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
--- a/libs/http/tests/test_client.py
+++ b/libs/http/tests/test_client.py
@@ -1,4 +1,4 @@
-"""One answer to each request, whatever the other end sends."""
+"""The HTTP client returns one response or failure for each request."""
 
 import socket
 import struct
@@ -22,7 +22,7 @@
 REQUEST = b'GET / HTTP/1.1\r\nHost: a\r\n\r\n'
 
 
-def answer_with(id, body=b'ok', *, extra=b''):
+def build_response(id, body=b'ok', *, extra=b''):
     return b'HTTP/1.1 200 OK\r\nid: %b\r\n%bContent-Length: %d\r\n\r\n%b' % (
         id,
         extra,
@@ -31,11 +31,11 @@
     )
 
 
-class Far:
-    """The other end: says what it is told, once for each connection."""
+class FakeServer:
+    """Server that sends the given responses on each connection."""
 
-    def __init__(self, *says, reads=True, resets=False):
-        self.says = says
+    def __init__(self, *responses, reads=True, resets=False):
+        self.responses = responses
         self.reads = reads
         self.resets = resets
         self.connections = 0
@@ -45,7 +45,7 @@
         async with stream:
             if self.reads:
                 await stream.receive_some(65536)
-            for data in self.says:
+            for data in self.responses:
                 await stream.send_all(data)
                 await trio.sleep(0.01)
             if self.resets:
@@ -55,22 +55,22 @@
                     struct.pack('ii', 1, 0),
                 )
                 return
-            await self._wait_for_end(stream)
+            await self._wait_until_closed(stream)
 
-    async def _wait_for_end(self, stream):
-        """Wait until the client closes; with bytes unread, it resets."""
+    async def _wait_until_closed(self, stream):
+        """Wait until the client closes or resets the connection."""
         try:
             await stream.receive_some(1)
         except trio.BrokenResourceError:
             return
 
 
-def play(far, scene):
+def run_scenario(server, scenario):
     async def main():
         async with trio.open_nursery() as nursery:
             listeners = await nursery.start(
                 trio.serve_tcp,
-                far.serve,
+                server.serve,
                 0,
             )
             port = listeners[0].socket.getsockname()[1]
@@ -81,7 +81,7 @@
                 connect_timeout=1,
             )
             with trio.fail_after(10):
-                await scene(pool)
+                await scenario(pool)
             nursery.cancel_scope.cancel()
 
     trio.run(main)
@@ -104,124 +104,136 @@
     return result
 
 
-def test_a_late_answer_to_another_request_is_skipped():
-    async def scene(pool):
-        found = await exchange(pool)
-        assert found.body == b'right'
+def test_late_response_to_another_request_is_skipped():
+    async def scenario(pool):
+        response = await exchange(pool)
+        assert response.body == b'right'
 
-    play(Far(answer_with(b'0', b'wrong'), answer_with(b'1', b'right')), scene)
+    run_scenario(
+        FakeServer(
+            build_response(b'0', b'wrong'), build_response(b'1', b'right')
+        ),
+        scenario,
+    )
 
 
-def test_an_answer_too_many_ends_the_connection():
-    # A second answer comes together with the first. Left on the connection,
-    # it would be taken for the answer to the next request.
-    async def scene(pool):
-        found = await exchange(pool)
-        assert found.body == b'ok'
-        assert not found.is_reusable
-        assert pool.open == 0
+def test_surplus_response_closes_the_connection():
+    # A second response arrives together with the first. If the connection
+    # were reused, it would be read as the response to the next request.
+    async def scenario(pool):
+        response = await exchange(pool)
+        assert response.body == b'ok'
+        assert not response.is_reusable
+        assert pool.open_count == 0
 
-    play(Far(answer_with(b'1') + answer_with(b'1', b'extra')), scene)
+    run_scenario(
+        FakeServer(build_response(b'1') + build_response(b'1', b'extra')),
+        scenario,
+    )
 
 
-def test_an_extra_byte_on_a_kept_connection_is_noticed():
-    async def scene(pool):
+def test_unexpected_bytes_on_an_idle_connection_close_it():
+    async def scenario(pool):
         assert (await exchange(pool)).is_reusable
         await trio.sleep(0.1)
-        far.says = (answer_with(b'1', b'second'),)
+        server.responses = (build_response(b'1', b'second'),)
         assert (await exchange(pool)).body == b'second'
-        assert far.connections == 2
+        assert server.connections == 2
 
-    far = Far(answer_with(b'1'), answer_with(b'1', b'late'))
-    play(far, scene)
+    server = FakeServer(build_response(b'1'), build_response(b'1', b'late'))
+    run_scenario(server, scenario)
 
 
 @pytest.mark.parametrize(
-    ('says', 'fault'),
+    ('responses', 'fault'),
     [
         (
             (b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut',),
             ExchangeFailure.CONNECTION_LOST,
         ),
         ((b'hello\r\n\r\n',), ExchangeFailure.MALFORMED),
-        ((answer_with(b'1', b'x' * 1001),), ExchangeFailure.MALFORMED),
+        ((build_response(b'1', b'x' * 1001),), ExchangeFailure.MALFORMED),
         ((), ExchangeFailure.CONNECTION_LOST),
     ],
 )
-def test_what_is_not_whole_is_no_answer(says, fault):
-    async def scene(pool):
+def test_incomplete_response_is_a_failure(responses, fault):
+    async def scenario(pool):
         assert await exchange(pool) is fault
-        assert pool.open == 0
+        assert pool.open_count == 0
 
-    play(Far(*says, resets=True), scene)
+    run_scenario(FakeServer(*responses, resets=True), scenario)
 
 
-def test_a_body_that_ends_with_a_reset_is_not_whole():
-    # Without a length only the end of the connection tells the end of the
-    # body. A reset is no such end; taken for one, a cut photo looks whole.
-    async def scene(pool):
+def test_body_ended_by_a_reset_is_incomplete():
+    # Without a length, the end of the connection is the end of the body. If a
+    # reset counted as such an end, a truncated photo would look complete.
+    async def scenario(pool):
         assert await exchange(pool) is ExchangeFailure.CONNECTION_LOST
 
-    play(Far(b'HTTP/1.1 200 OK\r\n\r\nhalf a photo', resets=True), scene)
+    run_scenario(
+        FakeServer(b'HTTP/1.1 200 OK\r\n\r\nhalf a photo', resets=True),
+        scenario,
+    )
 
 
-def test_an_answer_before_the_whole_request_ends_the_connection():
-    # The other end refuses a long body before it has read it. The rest of
-    # the body is still due there; a second request would be taken for it.
-    async def scene(pool):
+def test_response_before_the_end_of_the_request_closes_the_connection():
+    # The server rejects a long body before it has read all of it. It still
+    # expects the rest of the body and would read a second request as part of
+    # it.
+    async def scenario(pool):
         request = (
             b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 50000000\r\n\r\n'
             + bytes(50_000_000)
         )
-        found = await exchange(pool, request)
-        assert found.status == 200
-        assert not found.is_reusable
+        response = await exchange(pool, request)
+        assert response.status == 200
+        assert not response.is_reusable
 
-    play(Far(answer_with(b'1')), scene)
+    run_scenario(FakeServer(build_response(b'1')), scenario)
 
 
-def test_who_takes_no_connection_is_told_apart():
-    async def scene(pool):
+def test_refused_connection_yields_none():
+    async def scenario(pool):
         with socket.socket() as closed:
             closed.bind(('127.0.0.1', 0))
             port = closed.getsockname()[1]
-        gone = ConnectionPool(
+        unreachable_pool = ConnectionPool(
             parse_address(f'127.0.0.1:{port}'),
             limit=1,
             max_idle=1,
             connect_timeout=1,
         )
-        assert await gone.acquire() is None
-        assert gone.open == 0
+        assert await unreachable_pool.acquire() is None
+        assert unreachable_pool.open_count == 0
 
-    play(Far(), scene)
+    run_scenario(FakeServer(), scenario)
 
 
-def test_the_limit_holds_and_distrust_ends_kept_connections():
-    async def scene(pool):
-        taken = [await pool.acquire() for _ in range(5)]
-        assert taken[4] is None
-        assert pool.open == 4
-        for connection in taken[:4]:
+def test_limit_is_enforced_and_invalidate_closes_connections():
+    async def scenario(pool):
+        acquired = [await pool.acquire() for _ in range(5)]
+        assert acquired[4] is None
+        assert pool.open_count == 4
+        for connection in acquired[:4]:
             pool.release(connection)
         pool.invalidate()
-        assert pool.open == 0
+        assert pool.open_count == 0
 
-    play(Far(reads=True), scene)
+    run_scenario(FakeServer(reads=True), scenario)
 
 
-def test_one_lost_packet_ends_no_connection():
-    # A request runs silently for seconds, and the kernel asks whether the
-    # other end is there. With a bound on unacknowledged bytes, the kernel ends
-    # the connection by that bound alone, once a question is out: if it passes
-    # before the second one, a single lost packet ends a run that is well.
+def test_single_lost_packet_does_not_end_a_connection():
+    # While a request runs for seconds without traffic, the kernel sends
+    # keepalive probes. With TCP_USER_TIMEOUT set, the kernel applies only that
+    # limit once a probe is outstanding. If it expires before the second probe,
+    # a single lost packet aborts a healthy request.
     assert USER_TIMEOUT_MS > 1000 * (KEEPALIVE_IDLE_S + KEEPALIVE_INTERVAL_S)
 
 
-def test_old_connections_do_not_block_a_new_one():
-    # A peak of load has left as many connections as are allowed, idle. A
-    # request that must not use old ones needs a new one; without it, the
-    # other end would seem to take no connection.
+def test_expired_connections_do_not_block_a_new_one():
+    # A peak of load has left the maximum number of connections idle. A request
+    # that must not use them needs a new connection; without one, the server
+    # would appear to refuse connections.
     async def main():
         with socket.create_server(('127.0.0.1', 0)) as listener:
             pool = ConnectionPool(
@@ -234,11 +246,11 @@
                 pool.release(connection)
             await trio.sleep(0.01)
             assert not pool.is_full
-            fresh = await pool.acquire(max_idle=0)
-            assert fresh is not None
-            assert fresh.is_new
-            assert pool.open == 3
-            pool.discard(fresh)
+            new_connection = await pool.acquire(max_idle=0)
+            assert new_connection is not None
+            assert new_connection.is_new
+            assert pool.open_count == 3
+            pool.discard(new_connection)
             pool.close_idle()
 
     trio.run(main)
--- a/libs/http/tests/test_server.py
+++ b/libs/http/tests/test_server.py
@@ -1,4 +1,4 @@
-"""What a peer sees of the server: order, limits, ends."""
+"""Order of responses, limits and shutdown of the server, as a client sees."""
 
 import socket
 from functools import partial
@@ -20,29 +20,29 @@
     head_timeout=0.4,
     idle_timeout=0.6,
 )
-PATIENT = ServerLimits()
-#: Longer than the sockets of both ends hold together.
-LARGE = 24 * 1024 * 1024
-#: More than a peer with a small buffer takes at once.
-LONG = 2 * 1024 * 1024
+DEFAULT_LIMITS = ServerLimits()
+#: More than the socket buffers of both sides hold together.
+LARGE_BYTES = 24 * 1024 * 1024
+#: More than a client with a small receive buffer accepts at once.
+MEDIUM_BYTES = 2 * 1024 * 1024
 
 
-def get(path, *, extra=b''):
-    return b'GET %b HTTP/1.1\r\nHost: a\r\n%b\r\n' % (path, extra)
+def get(path, *, headers=b''):
+    return b'GET %b HTTP/1.1\r\nHost: a\r\n%b\r\n' % (path, headers)
 
 
-class Site:
-    """A server whose handler waits as its path says, and a peer."""
+class ServerHarness:
+    """A server whose handler behaves as the path of the request requires."""
 
     def __init__(self, nursery, limits):
         self.released = trio.Event()
-        self.faults = []
+        self.errors = []
         self.cancelled = []
         self.handled = []
         self.server = HttpServer(
             self.handle,
             limits=lambda: limits,
-            on_error=self.faults.append,
+            on_error=self.errors.append,
         )
         self.nursery = nursery
         self.listener = listen(Address('127.0.0.1', 0))
@@ -55,9 +55,9 @@
         if path == b'/fault':
             raise RuntimeError('a fault in the handler')
         if path == b'/large':
-            return Response(status=200, body=bytes(LARGE))
+            return Response(status=200, body=bytes(LARGE_BYTES))
         if path == b'/long':
-            return Response(status=200, body=bytes(LONG))
+            return Response(status=200, body=bytes(MEDIUM_BYTES))
         try:
             if path == b'/held':
                 await self.released.wait()
@@ -70,7 +70,7 @@
     async def connect(self):
         return await trio.open_tcp_stream('127.0.0.1', self.port)
 
-    async def has_handled(self, path):
+    async def wait_until_handled(self, path):
         with trio.fail_after(10):
             while path not in self.handled:
                 await trio.sleep(0.01)
@@ -104,57 +104,58 @@
     return data
 
 
-def play(scene, limits=LIMITS):
+def run_scenario(scenario, limits=LIMITS):
     async def main():
         async with trio.open_nursery() as nursery:
-            await scene(Site(nursery, limits))
+            await scenario(ServerHarness(nursery, limits))
             nursery.cancel_scope.cancel()
 
     trio.run(main)
 
 
-def test_answers_keep_the_order_of_requests():
-    async def scene(site):
-        stream = await site.connect()
+def test_responses_keep_the_order_of_requests():
+    async def scenario(harness):
+        stream = await harness.connect()
         await stream.send_all(get(b'/slow') + get(b'/quick'))
         data = await read_until(stream, b'/quick')
         assert data.index(b'/slow') < data.index(b'/quick')
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_work_ends_with_its_connection():
-    async def scene(site):
-        stream = await site.connect()
+def test_handler_is_cancelled_when_the_connection_closes():
+    async def scenario(harness):
+        stream = await harness.connect()
         await stream.send_all(get(b'/slow'))
         await trio.sleep(0.05)
         await stream.aclose()
         with trio.fail_after(5):
-            while not site.cancelled:
+            while not harness.cancelled:
                 await trio.sleep(0.01)
-        assert site.server.in_hand == 0
+        assert harness.server.active_requests == 0
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_request_whose_sender_has_gone_already_is_not_begun():
-    # A lost packet holds a request up. Its sender gives up and closes; then
-    # the packet is sent once more, and the request and the end arrive
-    # together. Begun, it would reach an upstream long after its caller left.
-    async def scene(site):
-        with socket.create_connection(('127.0.0.1', site.port)) as sender:
+def test_request_of_a_closed_connection_is_not_started():
+    # A lost packet delays a request until its sender gives up and closes the
+    # connection. After the retransmission, the request and the end of the
+    # connection arrive together. If the request were started, it would reach
+    # an upstream long after its caller has left.
+    async def scenario(harness):
+        with socket.create_connection(('127.0.0.1', harness.port)) as sender:
             sender.sendall(get(b'/quick'))
             sender.shutdown(socket.SHUT_WR)
             await trio.sleep(0.2)
-        assert not site.handled
+        assert not harness.handled
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_limits_are_told_and_the_connection_closed():
-    async def scene(site):
+def test_exceeded_limits_are_reported_and_close_the_connection():
+    async def scenario(harness):
         for data, status in (
-            (get(b'/', extra=b'pad: %b\r\n' % (b'x' * 600)), b'431'),
+            (get(b'/', headers=b'pad: %b\r\n' % (b'x' * 600)), b'431'),
             (
                 b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2000\r\n\r\n',
                 b'413',
@@ -162,213 +163,216 @@
             (b'nonsense\r\n\r\n', b'400'),
             (b'GET / HTTP/1.1\r\nHos', b'408'),
         ):
-            stream = await site.connect()
+            stream = await harness.connect()
             await stream.send_all(data)
-            answer = await read_all(stream)
-            assert answer.split()[1] == status
-            assert b'connection: close' in answer
+            response = await read_all(stream)
+            assert response.split()[1] == status
+            assert b'connection: close' in response
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_idle_connection_is_closed_without_a_word():
-    async def scene(site):
-        stream = await site.connect()
+def test_idle_connection_is_closed_without_a_response():
+    async def scenario(harness):
+        stream = await harness.connect()
         assert await read_all(stream) == b''
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_fault_in_one_request_ends_its_connection_only():
-    async def scene(site):
-        other = await site.connect()
-        stream = await site.connect()
+def test_error_in_a_handler_closes_only_its_connection():
+    async def scenario(harness):
+        other = await harness.connect()
+        stream = await harness.connect()
         await stream.send_all(get(b'/fault'))
         assert await read_all(stream) == b''
         await other.send_all(get(b'/quick'))
         assert (await read_until(other, b'/quick')).startswith(b'HTTP/1.1 200')
-        assert len(site.faults) == 1
+        assert len(harness.errors) == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_stop_answers_what_is_in_hand_and_closes():
-    # A stop begins while a request is worked on and another connection is
-    # idle. The request gets its whole answer and the word that the
-    # connection ends; the idle one is closed; nobody is cut.
-    async def scene(site):
-        busy = await site.connect()
-        idle = await site.connect()
-        await busy.send_all(get(b'/slow'))
+def test_shutdown_finishes_active_requests_and_closes():
+    # A shutdown begins while a request is active and another connection is
+    # idle. The request gets its complete response with "connection: close",
+    # and the idle connection is closed.
+    async def scenario(harness):
+        busy_caller = await harness.connect()
+        idle_caller = await harness.connect()
+        await busy_caller.send_all(get(b'/slow'))
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
-            answer = await read_all(busy)
-            assert answer.endswith(b'/slow')
-            assert b'connection: close' in answer
-            assert await read_all(idle) == b''
-            await busy.aclose()
-        assert site.server.connections == 0
-
-    play(scene)
-
-
-def test_a_stop_begins_no_request_behind_one_in_hand():
-    # A caller pipelines: it sends the next request before the answer to the
-    # last one, so its connection is never idle and no answer is the last. Each
-    # request would be begun however late, until the process ends and cuts it
-    # at work. What is sent behind the answer that closes is sent again.
-    async def scene(site):
-        caller = await site.connect()
+            nursery.start_soon(harness.server.shut_down)
+            response = await read_all(busy_caller)
+            assert response.endswith(b'/slow')
+            assert b'connection: close' in response
+            assert await read_all(idle_caller) == b''
+            await busy_caller.aclose()
+        assert harness.server.connections == 0
+
+    run_scenario(scenario)
+
+
+def test_shutdown_starts_no_request_after_an_active_one():
+    # A caller that pipelines sends each request before the response to the
+    # previous one, so its connection is never idle and no response is the
+    # last. Without a limit, every request would be started, and the exit of
+    # the process would abort the last ones. Requests after the response that
+    # closes the connection are repeated by the caller.
+    async def scenario(harness):
+        caller = await harness.connect()
         await caller.send_all(get(b'/held') + get(b'/quick'))
-        await site.has_handled(b'/held')
-        await site.has_handled(b'/quick')
+        await harness.wait_until_handled(b'/held')
+        await harness.wait_until_handled(b'/quick')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
+            nursery.start_soon(harness.server.shut_down)
             await trio.sleep(0.05)
             await caller.send_all(get(b'/late'))
             await trio.sleep(0.05)
-            site.released.set()
-            answer = await read_all(caller)
-            assert answer.endswith(b'/quick')
-            assert answer.count(b'HTTP/1.1 200') == 2
-            assert answer.count(b'connection: close') == 1
-            assert b'/held' in answer.partition(b'connection: close')[0]
+            harness.released.set()
+            response = await read_all(caller)
+            assert response.endswith(b'/quick')
+            assert response.count(b'HTTP/1.1 200') == 2
+            assert response.count(b'connection: close') == 1
+            assert b'/held' in response.partition(b'connection: close')[0]
             await caller.aclose()
-        assert sorted(site.handled) == [b'/held', b'/quick']
+        assert sorted(harness.handled) == [b'/held', b'/quick']
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_a_stop_answers_a_request_that_has_begun_to_come():
-    # The first bytes of a request have come on a connection with nothing
-    # else in hand. Its caller was told of no end, so it gets its answer; what
-    # comes behind in the same bytes would never end, and is not begun.
-    async def scene(site):
-        caller = await site.connect()
+def test_shutdown_handles_a_partially_received_request():
+    # The first bytes of a request have arrived on a connection without active
+    # requests. The caller has not been told that the connection ends, so it
+    # gets a response. The request that follows in the same bytes is not
+    # started, because a caller that pipelines would never stop.
+    async def scenario(harness):
+        caller = await harness.connect()
         request = get(b'/begun')
         await caller.send_all(request[:20])
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
+            nursery.start_soon(harness.server.shut_down)
             await trio.sleep(0.05)
             await caller.send_all(request[20:] + get(b'/late'))
-            answer = await read_all(caller)
-            assert answer.endswith(b'/begun')
-            assert b'connection: close' in answer
+            response = await read_all(caller)
+            assert response.endswith(b'/begun')
+            assert b'connection: close' in response
             await caller.aclose()
-        assert site.handled == [b'/begun']
+        assert harness.handled == [b'/begun']
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_a_request_that_comes_too_late_in_a_stop_is_refused():
-    # A long body arrives while the server stops, and is whole only when the
-    # process has little time left. Begun, it would be cut at work, and its
-    # caller could not know whether it has run. 503 tells that it has not.
-    async def scene(site):
-        caller = await site.connect()
+def test_late_request_during_shutdown_is_rejected():
+    # A long body arrives during the shutdown and is complete only when the
+    # process has little time left. If the request were started, it would be
+    # aborted, and the caller could not know whether it was executed. Status
+    # 503 states that it was not.
+    async def scenario(harness):
+        caller = await harness.connect()
         await caller.send_all(
             b'POST /upload HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n1',
         )
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
+            nursery.start_soon(harness.server.shut_down)
             await trio.sleep(1)
             await caller.send_all(b'2')
-            answer = await read_all(caller)
-            assert answer.startswith(b'HTTP/1.1 503')
-            assert b'connection: close' in answer
+            response = await read_all(caller)
+            assert response.startswith(b'HTTP/1.1 503')
+            assert b'connection: close' in response
             await caller.aclose()
-        assert not site.handled
+        assert not harness.handled
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_a_late_request_is_left_to_a_handler_that_refuses_by_itself():
-    # Between daemons a refusal has to say whose it is. The server's own bears
-    # no such word, so the sender could not take it for "not run"; there the
-    # handler gets late requests too.
-    async def scene(site):
-        caller = await site.connect()
+def test_late_request_reaches_a_handler_that_rejects_it_itself():
+    # Between daemons, a rejection has to identify its sender. The server's own
+    # rejection does not, so the other daemon could not treat the request as
+    # not executed. On these connections the handler gets late requests too.
+    async def scenario(harness):
+        caller = await harness.connect()
         await caller.send_all(
             b'POST /hop HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n1',
         )
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                partial(site.server.shut_down, reject_late=False),
+                partial(harness.server.shut_down, reject_late=False),
             )
             await trio.sleep(1)
             await caller.send_all(b'2')
-            answer = await read_all(caller)
-            assert answer.startswith(b'HTTP/1.1 200')
-            assert b'connection: close' in answer
+            response = await read_all(caller)
+            assert response.startswith(b'HTTP/1.1 200')
+            assert b'connection: close' in response
             await caller.aclose()
-        assert site.handled == [b'/hop']
+        assert harness.handled == [b'/hop']
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_a_stop_does_not_cut_an_answer_on_its_way():
-    # A caller takes a long answer slowly. No request is in hand meanwhile, so
-    # the connection counts as idle and is closed in the midst of the answer.
-    async def scene(site):
-        caller = await site.connect()
+def test_shutdown_does_not_truncate_a_response():
+    # A caller reads a long response slowly. No request is active meanwhile, so
+    # a connection that counted as idle would be closed within the response.
+    async def scenario(harness):
+        caller = await harness.connect()
         await caller.send_all(get(b'/large'))
-        await site.has_handled(b'/large')
+        await harness.wait_until_handled(b'/large')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
+            nursery.start_soon(harness.server.shut_down)
             await trio.sleep(1)
             head, _, body = (await read_all(caller)).partition(b'\r\n\r\n')
-            assert len(body) == LARGE
+            assert len(body) == LARGE_BYTES
             await caller.aclose()
-        assert not site.faults
+        assert not harness.errors
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_nothing_is_begun_behind_an_answer_that_closes():
-    # The server stops; the last answer says that the connection ends, and
-    # its caller takes it slowly. The next request has come meanwhile. Begun,
-    # it would be cut when the long answer is out and the connection closes.
-    async def scene(site):
-        site.server.is_stopping = True
-        caller = await site.connect()
+def test_no_request_is_started_after_a_closing_response():
+    # During a shutdown, the last response announces the end of the connection,
+    # and its caller reads it slowly. The next request arrives meanwhile. If it
+    # were started, closing the connection after the response would abort it.
+    async def scenario(harness):
+        harness.server.is_stopping = True
+        caller = await harness.connect()
         await caller.send_all(get(b'/large'))
-        await site.has_handled(b'/large')
+        await harness.wait_until_handled(b'/large')
         await trio.sleep(0.05)
         await caller.send_all(get(b'/late'))
         await trio.sleep(0.05)
-        answer = await read_all(caller)
-        assert b'connection: close' in answer[:200]
-        assert site.handled == [b'/large']
+        response = await read_all(caller)
+        assert b'connection: close' in response[:200]
+        assert harness.handled == [b'/large']
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_a_request_that_crosses_the_end_of_its_connection_is_answered():
-    # A connection that waits is told to end, and a request comes before the
-    # task that reads there has run, on a busy loop long after. Thrown away,
-    # its caller sees the connection close without an answer.
-    async def scene(site):
-        with socket.create_connection(('127.0.0.1', site.port)) as caller:
+def test_request_that_arrives_while_closing_is_handled():
+    # An idle connection is about to be closed when a request arrives, before
+    # the reading task runs; on a busy event loop this takes long. If the
+    # request were discarded, its caller would get no response.
+    async def scenario(harness):
+        with socket.create_connection(('127.0.0.1', harness.port)) as caller:
             with trio.fail_after(10):
-                while not site.server.connections:
+                while not harness.server.connections:
                     await trio.sleep(0.01)
             await trio.sleep(0.05)
-            site.server.dismiss_idle(0)
+            harness.server.close_idle(0)
             caller.sendall(get(b'/crossing'))
             caller.setblocking(False)
             await trio.lowlevel.wait_readable(caller)
             assert caller.recv(65536).endswith(b'/crossing')
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_chunks_and_expectations_are_understood():
-    async def scene(site):
-        stream = await site.connect()
+def test_chunked_bodies_and_expect_continue_are_supported():
+    async def scenario(harness):
+        stream = await harness.connect()
         await stream.send_all(
             b'POST /p HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n'
             b'Transfer-Encoding: chunked\r\n\r\n',
@@ -377,24 +381,24 @@
         await stream.send_all(b'2\r\nab\r\n0\r\n\r\n')
         assert (await read_until(stream, b'/pab')).startswith(b'HTTP/1.1 200')
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_caller_that_reads_slowly_is_not_taken_for_gone():
-    # A caller takes its time with a long answer. Its kernel acknowledges
-    # nothing more meanwhile; a bound on that resets the connection in the
-    # midst of the answer, long before the bound on sending.
-    async def scene(site):
-        stream = await site.connect()
+def test_slow_reader_is_not_treated_as_unreachable():
+    # While a caller reads a long response slowly, its kernel acknowledges no
+    # further bytes. TCP_USER_TIMEOUT would reset the connection within the
+    # response, long before the time limit for sending.
+    async def scenario(harness):
+        stream = await harness.connect()
         await stream.send_all(get(b'/quick'))
         await read_until(stream, b'/quick')
-        (served,) = site.server._served
-        assert not served._sock.getsockopt(
+        (connection,) = harness.server._connections
+        assert not connection._sock.getsockopt(
             socket.IPPROTO_TCP,
             socket.TCP_USER_TIMEOUT,
         )
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -404,36 +408,37 @@
         b'POST /next HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n1',
     ],
 )
-def test_a_slow_request_does_not_cut_the_answer_before_it(rest):
-    # A caller takes a long answer slowly, and part of its next request stalls
-    # meanwhile. Ended for that, the connection would cut the answer.
-    async def scene(site):
-        caller = await site.connect()
+def test_slow_request_does_not_truncate_the_previous_response(rest):
+    # A caller reads a long response slowly, and its next request stalls
+    # meanwhile. Closing the connection because of the slow request would
+    # truncate the response.
+    async def scenario(harness):
+        caller = await harness.connect()
         await caller.send_all(get(b'/large'))
-        await site.has_handled(b'/large')
+        await harness.wait_until_handled(b'/large')
         await caller.send_all(rest)
         await trio.sleep(3 * LIMITS.head_timeout)
-        data = await read_until_size(caller, LARGE)
-        assert data.partition(b'\r\n\r\n')[2].startswith(bytes(LARGE))
-        assert not site.faults
+        data = await read_until_size(caller, LARGE_BYTES)
+        assert data.partition(b'\r\n\r\n')[2].startswith(bytes(LARGE_BYTES))
+        assert not harness.errors
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_last_answer_is_not_reset_by_what_is_sent_behind_it():
-    # During a stop, a caller takes its last answer slowly out of its kernel
-    # and sends its next request meanwhile. On a socket that is closed by
-    # then, that request is met by a reset, and the rest of the answer is gone.
-    async def scene(site):
-        site.server.is_stopping = True
+def test_last_response_is_not_reset_by_a_later_request():
+    # During a shutdown, a caller reads its last response slowly and sends its
+    # next request meanwhile. If the server had already closed its socket, the
+    # request would cause a reset, and the rest of the response would be lost.
+    async def scenario(harness):
+        harness.server.is_stopping = True
         with socket.socket() as caller:
             caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
-            caller.connect(('127.0.0.1', site.port))
+            caller.connect(('127.0.0.1', harness.port))
             caller.setblocking(False)
             caller.send(get(b'/long'))
-            await site.has_handled(b'/long')
+            await harness.wait_until_handled(b'/long')
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(site.server.shut_down)
+                nursery.start_soon(harness.server.shut_down)
                 received = caller.recv(1000)
                 await trio.sleep(1.5)
                 caller.send(get(b'/late'))
@@ -441,10 +446,10 @@
                 while data := await _receive(caller):
                     received += data
                 caller.close()
-        assert len(received) > LONG
-        assert site.handled == [b'/long']
+        assert len(received) > MEDIUM_BYTES
+        assert harness.handled == [b'/long']
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
 async def _receive(sock):
@@ -453,19 +458,19 @@
     return sock.recv(65_536)
 
 
-EXPECTS = (
+EXPECT_CONTINUE = (
     b'POST /up HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n'
     b'Content-Length: 2\r\n\r\n'
 )
 
 
-def test_a_body_is_asked_for_after_the_answers_before_it():
-    # A caller asks whether it may send a body, behind another request. Told
-    # at once, it would take the line for the start of the earlier answer, or
-    # find it in the midst of that.
-    async def scene(site):
-        caller = await site.connect()
-        await caller.send_all(get(b'/slow') + EXPECTS)
+def test_continue_is_sent_after_earlier_responses():
+    # A caller sends "Expect: 100-continue" after another request. If the
+    # server replied immediately, the interim response would precede the
+    # earlier response or appear within it.
+    async def scenario(harness):
+        caller = await harness.connect()
+        await caller.send_all(get(b'/slow') + EXPECT_CONTINUE)
         data = await read_until(caller, b'100 Continue\r\n\r\n')
         assert data.startswith(b'HTTP/1.1 200')
         assert data.count(b'HTTP/1.1') == 2
@@ -473,39 +478,40 @@
         await caller.send_all(b'ab')
         assert (await read_until(caller, b'/upab')).startswith(b'HTTP/1.1 200')
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_no_body_is_asked_for_that_would_be_refused():
-    # Late in a stop, a caller asks whether it may send a body. Told to, it
-    # would send all of it and be refused then.
-    async def scene(site):
-        caller = await site.connect()
-        await caller.send_all(EXPECTS[:20])
+def test_no_continue_is_sent_for_a_rejected_body():
+    # Late in a shutdown, a caller sends "Expect: 100-continue". If the server
+    # agreed, the caller would send the whole body and then be rejected.
+    async def scenario(harness):
+        caller = await harness.connect()
+        await caller.send_all(EXPECT_CONTINUE[:20])
         await trio.sleep(0.05)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
+            nursery.start_soon(harness.server.shut_down)
             await trio.sleep(1)
-            await caller.send_all(EXPECTS[20:])
+            await caller.send_all(EXPECT_CONTINUE[20:])
             assert (await read_all(caller)).startswith(b'HTTP/1.1 503')
             await caller.aclose()
-        assert not site.handled
+        assert not harness.handled
 
-    play(scene, PATIENT)
+    run_scenario(scenario, DEFAULT_LIMITS)
 
 
-def test_a_stop_waits_for_an_answer_whatever_stalls_behind_it():
-    # Part of a next request stalls behind one in hand while the server stops.
-    # It is not read any more; ended as slow, the answer in hand would be cut.
-    async def scene(site):
-        caller = await site.connect()
+def test_shutdown_waits_for_a_response_despite_a_stalled_request():
+    # During a shutdown, part of a next request stalls after an active one. It
+    # is not read any more. Closing the connection because of the slow request
+    # would truncate the response to the active one.
+    async def scenario(harness):
+        caller = await harness.connect()
         await caller.send_all(get(b'/held') + b'GET /next HT')
-        await site.has_handled(b'/held')
+        await harness.wait_until_handled(b'/held')
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(site.server.shut_down)
+            nursery.start_soon(harness.server.shut_down)
             await trio.sleep(3 * LIMITS.head_timeout)
-            site.released.set()
+            harness.released.set()
             assert (await read_all(caller)).endswith(b'/held')
             await caller.aclose()
 
-    play(scene)
+    run_scenario(scenario)
