--- a/libs/telemetry/src/verbenamill_telemetry/__init__.py
+++ b/libs/telemetry/src/verbenamill_telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered events and how they are written."""
+"""Catalogue of log events and structured logging."""
 
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.log_settings import LogFormat, LogLevel
--- a/libs/telemetry/src/verbenamill_telemetry/events.py
+++ b/libs/telemetry/src/verbenamill_telemetry/events.py
@@ -1,10 +1,10 @@
-"""Numbered events: what a daemon tells the people on call.
+"""Catalogue of the events that a daemon logs for operators.
 
-They stand below the libraries that write them, so that every code has its
-one place.
+All events are defined here, below the libraries that log them, so that each
+code is assigned in a single place.
 
-``python -m verbenamill_telemetry.events`` prints the catalogue that stands in
-``docs/operators/events.md``; a test fails when the two differ.
+``python -m verbenamill_telemetry.events`` prints the catalogue that is stored
+as ``docs/operators/events.md``; a test fails if the two differ.
 """
 
 import logging
@@ -15,15 +15,15 @@
 from msgspec import Struct
 
 
-class EventKind(Struct, frozen=True):
-    """What is known of an event before it happens.
+class EventDefinition(Struct, frozen=True):
+    """Definition of an event.
 
-    :param code: number that never changes its meaning.
+    :param code: unique code whose meaning never changes.
     :param level: level of the standard ``logging`` module.
     :param template: message with the names of fields in braces.
-    :param meaning: why it happens, for the catalogue.
-    :param action: what an operator does, for the catalogue.
-    :param rate: lines a second that are written at most, after a burst.
+    :param meaning: cause of the event, for the catalogue.
+    :param action: what an operator should do, for the catalogue.
+    :param rate: maximum number of lines per second after a burst.
     """
 
     code: str
@@ -35,7 +35,7 @@
 
     @property
     def chapter(self) -> str:
-        """Part of the catalogue, by the code's first digit."""
+        """Chapter of the catalogue, given by the first digit of the code."""
         return _CHAPTERS[self.code[2]]
 
 
@@ -46,475 +46,480 @@
     '4': 'Daemons and links',
     '5': 'Moves',
     '6': 'Upstream and calls',
-    '9': 'Faults of the program',
+    '9': 'Program errors',
 }
-_NOTHING = 'Nothing.'
+_NO_ACTION = 'Nothing.'
 
 
 @unique
 class Event(Enum):
-    """Every event, by what happened."""
+    """All events."""
 
-    STARTED = EventKind(
+    STARTED = EventDefinition(
         'VM1001',
         logging.INFO,
         'daemon {id} started',
         'The daemon listens on all its addresses.',
-        _NOTHING,
+        _NO_ACTION,
     )
-    STOPPING = EventKind(
+    STOPPING = EventDefinition(
         'VM1002',
         logging.INFO,
         'daemon {id} is stopping',
-        'A signal asked for a graceful shutdown. The daemon tells the others '
-        'that it leaves and finishes the calls it holds.',
-        _NOTHING,
+        'A signal requested a graceful shutdown. The daemon tells the other '
+        'daemons that it leaves and finishes the calls in progress.',
+        _NO_ACTION,
     )
-    STOPPED = EventKind(
+    STOPPED = EventDefinition(
         'VM1003',
         logging.INFO,
         'daemon {id} stopped',
-        'The shutdown is complete; no call was cut.',
-        _NOTHING,
+        'The shutdown is complete; no call was aborted.',
+        _NO_ACTION,
     )
-    SETTINGS_INVALID = EventKind(
+    SETTINGS_INVALID = EventDefinition(
         'VM1004',
         logging.ERROR,
         '{path}: {fault}',
         'The settings file cannot be used; the daemon did not start.',
-        'Correct the key that is named, try `verbenamill config check FILE`, '
+        'Correct the key in the message, run `verbenamill config check FILE` '
         'and start the daemon again.',
     )
-    SETTINGS_RELOADED = EventKind(
+    SETTINGS_RELOADED = EventDefinition(
         'VM1005',
         logging.INFO,
-        'settings read again: {outcome}',
-        'A signal said that the settings file has changed. Addresses stay as '
-        'they were until the daemon is started again.',
+        'settings reloaded: {outcome}',
+        'A signal requested that the settings file be read again. Changed '
+        'addresses take effect only when the daemon is restarted.',
         'If the outcome names a fault, correct the file.',
     )
-    PROCESS_STALLED = EventKind(
+    PROCESS_STALLED = EventDefinition(
         'VM1006',
         logging.WARNING,
-        'this daemon stood still for {ms} ms',
-        'The process got no processor time, or one step of its own took this '
-        'long. Whatever it seems to have seen of others meanwhile is older '
-        'than it looks.',
-        'Compare the processor time of the VM with its share; look at the '
-        'line before for what the daemon was doing.',
-    )
-    CONFIGURATION_ACCEPTED = EventKind(
+        'this daemon stalled for {ms} ms',
+        'The process got no processor time, or one of its own steps took this '
+        'long. What it observed of other daemons in this time is older than '
+        'it appears.',
+        'Compare the processor time that the VM used with its share. The '
+        'previous line shows what the daemon was doing.',
+    )
+    CONFIGURATION_ACCEPTED = EventDefinition(
         'VM2001',
         logging.INFO,
         'ticket {ticket} accepted at offset {offset}',
         'A ticket passed all checks and changed the configuration.',
-        _NOTHING,
+        _NO_ACTION,
     )
-    CONFIGURATION_REFUSED = EventKind(
+    CONFIGURATION_REFUSED = EventDefinition(
         'VM2002',
         logging.WARNING,
         'record at offset {offset} refused: {reason}',
-        'A record on the log changed nothing, on any daemon.',
-        'The reason says what to correct. Publish again under a new number.',
+        'All daemons ignore this record of the log.',
+        'Correct what the reason names and publish again under a new number.',
     )
-    CONFIGURATION_APPLIED = EventKind(
+    CONFIGURATION_APPLIED = EventDefinition(
         'VM2003',
         logging.INFO,
         'running version {version}',
-        'The daemon swapped in a newer snapshot, whole.',
-        _NOTHING,
+        'The daemon replaced its configuration with a newer snapshot.',
+        _NO_ACTION,
     )
-    CHECKPOINT_WRITTEN = EventKind(
+    CHECKPOINT_WRITTEN = EventDefinition(
         'VM2004',
         logging.INFO,
         'checkpoint of offset {offset} written',
-        'The state was put on the log, so that a new daemon can start after '
-        'older records have expired.',
-        _NOTHING,
+        'The state was written to the log, so that new daemons can start even '
+        'when older records have expired.',
+        _NO_ACTION,
     )
-    CHECKPOINT_USED = EventKind(
+    CHECKPOINT_USED = EventDefinition(
         'VM2005',
         logging.INFO,
         'started from the state at offset {offset} of {source}',
-        'The daemon had no state, or a gap, and took a whole state from '
-        'another daemon or from a checkpoint.',
-        'Nothing at a start. On a daemon that has run for long, look whether '
-        'it was cut off.',
+        'The daemon had no state, or missed some records, and took the '
+        'complete state from another daemon or from a checkpoint.',
+        'Nothing after a start. On a daemon that has run for a long time, '
+        'check whether it was disconnected.',
     )
-    STATE_DIFFERS = EventKind(
+    STATE_DIFFERS = EventDefinition(
         'VM2006',
         logging.ERROR,
-        'another state at the same offset {offset}: {own} here, {other} there',
-        'Two daemons folded the same records to different states, so they '
-        'run programs that accept differently.',
-        'Look which versions of the program run; replace the one that '
+        'states differ at offset {offset}: {own} here, {other} at a peer',
+        'Two daemons derived different states from the same records, so they '
+        'run program versions with different acceptance rules.',
+        'Check which versions of the program run, and replace the one that '
         'differs from the others.',
     )
-    CHECKPOINT_REFUSED = EventKind(
+    CHECKPOINT_REFUSED = EventDefinition(
         'VM2007',
         logging.ERROR,
         'checkpoint refused: {reason}',
-        'A checkpoint could not be used; an earlier one or another daemon '
-        'is tried.',
-        'Look whether another program writes to the stream `checkpoints`.',
+        'A checkpoint could not be used; the daemon tries an earlier one or '
+        'another daemon.',
+        'Check whether another program writes to the stream `checkpoints`.',
     )
-    RECORD_UNREADABLE = EventKind(
+    RECORD_UNREADABLE = EventDefinition(
         'VM2009',
         logging.WARNING,
         'a published record cannot be read: {reason}',
-        'It changes nothing; what was in force stays.',
-        'Look who wrote it.',
+        'The record is ignored; the current configuration stays in force.',
+        'Find out which program wrote the record.',
     )
-    LOG_UNAVAILABLE = EventKind(
+    LOG_UNAVAILABLE = EventDefinition(
         'VM3001',
         logging.WARNING,
         'log service unavailable: {detail}',
-        'A read or an append failed. Calls, links and vetoes go on; new '
-        'tickets and verdicts wait.',
-        'Look at the log service. The daemons retry by themselves.',
+        'A read or an append failed. Calls, links and vetoes continue to '
+        'work; new tickets and verdicts wait.',
+        'Check the log service. The daemons retry automatically.',
     )
-    LOG_RECOVERED = EventKind(
+    LOG_RECOVERED = EventDefinition(
         'VM3002',
         logging.INFO,
-        'log service answers again',
+        'log service available again',
         'The first read or append after an outage succeeded.',
-        _NOTHING,
+        _NO_ACTION,
     )
-    READER_CHOSEN = EventKind(
+    READER_CHOSEN = EventDefinition(
         'VM3003',
         logging.INFO,
         'reading the log for {availability_zone}',
-        'This daemon is one of the few of its availability zone that read '
-        'the log and pass changes on.',
-        _NOTHING,
+        'This daemon is one of the few in its availability zone that read '
+        'the log and forward changes to the others.',
+        _NO_ACTION,
     )
-    LOG_GAP = EventKind(
+    LOG_GAP = EventDefinition(
         'VM3004',
         logging.ERROR,
-        'the log left out records after offset {offset}',
-        'Nothing is folded over a gap, so this daemon stays where it is.',
-        'Look at the log service. Other daemons may have the records and '
-        'pass them on.',
+        'the log lacks records after offset {offset}',
+        'A daemon applies no records after a gap, so this daemon keeps its '
+        'state.',
+        'Check the log service. Other daemons may have the records and '
+        'forward them.',
     )
-    LOG_EXPIRED = EventKind(
+    LOG_EXPIRED = EventDefinition(
         'VM3005',
         logging.ERROR,
         'records after offset {offset} have expired: {detail}',
-        'Neither the log, a checkpoint nor another daemon has what follows; '
-        'the daemon serves what it has and is not ready.',
-        'Start it beside daemons that run. If none is left, publish the '
-        'whole configuration on a new stream.',
+        'Neither the log, a checkpoint nor another daemon has the following '
+        'records. The daemon uses the state that it has and is not ready.',
+        'Start it while other daemons are running. If none is left, publish '
+        'the whole configuration on a new stream.',
     )
-    LOG_TRUNCATED = EventKind(
+    LOG_TRUNCATED = EventDefinition(
         'VM3006',
         logging.ERROR,
         'the log ends before offset {end}, but {offset} was read from it',
         'The log service lost records or was replaced. The daemon keeps its '
-        'state, which never goes back.',
+        'state and never reverts to an earlier one.',
         'Restore the log service; see docs/operators/configuration.md.',
     )
-    STORE_LOST = EventKind(
+    STORE_LOST = EventDefinition(
         'VM3007',
         logging.WARNING,
-        'store lost: {fault}; configuration {version} stays in force',
-        'Calls to the store fail. Calls go on with what is known; changes '
-        'come from other daemons that still reach it.',
-        'Look at the store and at the way to it.',
+        'store unavailable: {fault}; configuration {version} stays in force',
+        'Requests to the store fail. Calls are still routed with the known '
+        'configuration; changes arrive through daemons that reach the store.',
+        'Check the store and the network path to it.',
     )
-    STORE_RECOVERED = EventKind(
+    STORE_RECOVERED = EventDefinition(
         'VM3008',
         logging.INFO,
-        'store reached again, {calls} calls since the start',
-        'Reads of the store work again.',
-        _NOTHING,
+        'store available again, {calls} calls since the start',
+        'Reads of the store succeed again.',
+        _NO_ACTION,
     )
-    PEER_LOST = EventKind(
+    PEER_LOST = EventDefinition(
         'VM4001',
         logging.WARNING,
         'link to {peer} lost: {reason}',
-        'A link that worked failed or was silent for too long. A new one is '
-        'opened and the request tried again. `waiting` counts the requests '
-        'that waited for its answers.',
-        'Nothing for one. Many at once mean a network fault or dead VMs; '
-        'look at `verbenamill status`.',
+        'A working link failed or was silent for too long. The daemon opens a '
+        'new one and retries the request. `waiting` is the number of requests '
+        'that waited for responses on the link.',
+        'Nothing for a single link. Many at once indicate a network fault or '
+        'dead VMs; check `verbenamill status`.',
     )
-    PEER_RECOVERED = EventKind(
+    PEER_RECOVERED = EventDefinition(
         'VM4002',
         logging.INFO,
-        'link to {peer} is back',
-        'The new link to the daemon works.',
-        _NOTHING,
+        'link to {peer} recovered',
+        'A new link to the daemon works.',
+        _NO_ACTION,
     )
-    MEMBER_SUSPECTED = EventKind(
+    MEMBER_SUSPECTED = EventDefinition(
         'VM4003',
         logging.INFO,
         'daemon {member} suspected',
-        'It answered neither this daemon nor those that were asked to try. '
-        'It gets no new calls unless it objects.',
-        _NOTHING,
+        'The daemon responded neither to this daemon nor to others that '
+        'probed it on request. It gets no new calls unless it refutes the '
+        'suspicion.',
+        _NO_ACTION,
     )
-    MEMBER_GONE = EventKind(
+    MEMBER_GONE = EventDefinition(
         'VM4004',
         logging.WARNING,
         'daemon {member} gone',
-        'It left, or did not object to being suspected in time.',
-        'Nothing when it was stopped or replaced; else look at its VM.',
+        'The daemon left, or did not refute the suspicion in time.',
+        'Nothing if it was stopped or replaced; otherwise check its VM.',
     )
-    MESSAGE_UNKNOWN = EventKind(
+    MESSAGE_UNKNOWN = EventDefinition(
         'VM4005',
         logging.WARNING,
         'a message is not known here: {kind}',
-        'Another version of the program sent it, or something that is no '
-        'daemon did. It was ignored.',
-        'Nothing while versions are mixed; else look who connects.',
+        'Another version of the program, or something other than a daemon, '
+        'sent the message. It was ignored.',
+        'Nothing during an upgrade; otherwise find out which process connects.',
     )
-    MEMBER_CHANGED = EventKind(
+    MEMBER_CHANGED = EventDefinition(
         'VM4006',
         logging.INFO,
         'daemon {vm}: instance {instance}, version {version}, {state}',
-        'Another daemon told something new of itself or of its upstream.',
-        _NOTHING,
+        'Another daemon reported a change of itself or of its upstream.',
+        _NO_ACTION,
         rate=20,
     )
-    MOVE_STAGE = EventKind(
+    MOVE_STAGE = EventDefinition(
         'VM5001',
         logging.INFO,
         'move {move} of {service}: {text}',
-        'A decider took a step of a move.',
-        '`verbenamill move show MOVE` tells the whole story.',
+        'The decider of a move took a step.',
+        '`verbenamill move show MOVE` shows the history of the move.',
     )
-    MOVE_VETOED = EventKind(
+    MOVE_VETOED = EventDefinition(
         'VM5002',
         logging.WARNING,
         'move {move} of {service} vetoed: {text}',
-        'The new version is bad by the evidence; it gets no more traffic.',
-        'Look at the evidence with `verbenamill move show MOVE`, mend the '
+        'According to the evidence the new version is faulty; it gets no more '
+        'traffic.',
+        'Check the evidence with `verbenamill move show MOVE`, fix the '
         'version and publish a new ticket.',
     )
-    MOVE_SETTLED = EventKind(
+    MOVE_SETTLED = EventDefinition(
         'VM5003',
         logging.INFO,
         'move {move} of {service} settled: {text}',
         'The verdict of the move is in force.',
-        _NOTHING,
+        _NO_ACTION,
     )
-    MOVE_ORDERED = EventKind(
+    MOVE_ORDERED = EventDefinition(
         'VM5004',
         logging.INFO,
         'move {order} of {service} to {target} ordered, window {window} s',
-        'An operator wants the traffic of a service on another version.',
-        _NOTHING,
+        'An operator requested that the traffic of a service be moved to '
+        'another version.',
+        _NO_ACTION,
     )
-    VERDICT_NOT_WRITTEN = EventKind(
+    VERDICT_NOT_WRITTEN = EventDefinition(
         'VM5005',
         logging.WARNING,
         'verdict {verdict} of move {move} not written: {fault}',
         'The store refused or lost the write, or another daemon wrote first. '
-        'It is tried again unless another verdict stands.',
-        'Look at the store if it repeats.',
+        'The daemon tries again unless another verdict is in force.',
+        'Check the store if the event repeats.',
     )
-    UPSTREAM_CHANGED = EventKind(
+    UPSTREAM_CHANGED = EventDefinition(
         'VM6001',
         logging.INFO,
         'upstream of {service} {version} is {state}',
-        'The upstream of this daemon announced itself or changed.',
-        _NOTHING,
+        'The upstream of this daemon announced itself or changed its state.',
+        _NO_ACTION,
     )
-    UPSTREAM_DRAINING = EventKind(
+    UPSTREAM_DRAINING = EventDefinition(
         'VM6002',
         logging.INFO,
         'upstream of {service} is draining',
-        'The upstream leaves; it gets no new calls and finishes those it has.',
-        _NOTHING,
+        'The upstream is leaving. It gets no new calls and finishes those in '
+        'progress.',
+        _NO_ACTION,
     )
-    UPSTREAM_GONE = EventKind(
+    UPSTREAM_GONE = EventDefinition(
         'VM6003',
         logging.WARNING,
         'upstream of {service} is gone',
-        'It said so, or did not announce itself for its lease: it stopped '
-        'without draining, or is too busy to announce.',
-        'Nothing when it was stopped; else look at the upstream on this VM.',
+        'The upstream announced its end, or its lease expired without an '
+        'announcement: it stopped without draining, or it is overloaded.',
+        'Nothing if it was stopped; otherwise check the upstream on this VM.',
     )
-    OVERLOAD = EventKind(
+    OVERLOAD = EventDefinition(
         'VM6004',
         logging.WARNING,
         'shedding calls of {service}: {reason}',
-        'The slots and the queue are full; further calls are refused as not '
-        'run, so that callers can go elsewhere.',
-        'Nothing for a moment. When it lasts, add upstreams.',
+        'The slots and the queue are full. Further calls are refused as not '
+        'run, so that callers can try elsewhere.',
+        'Nothing for a short peak. If it persists, add upstreams.',
     )
-    UPSTREAM_HEARTBEAT = EventKind(
+    UPSTREAM_HEARTBEAT = EventDefinition(
         'VM6005',
         logging.INFO,
-        'upstream {instance} told {state}: {belief}',
-        'A heartbeat changed what is believed of the upstream beside this '
-        'daemon, or was refused as late.',
-        _NOTHING,
+        'upstream {instance} reported {state}: {belief}',
+        'A heartbeat changed the known state of the upstream beside this '
+        'daemon, or was ignored because it was out of date.',
+        _NO_ACTION,
         rate=5,
     )
-    UPSTREAM_DEREGISTERED = EventKind(
+    UPSTREAM_DEREGISTERED = EventDefinition(
         'VM6006',
         logging.INFO,
-        'upstream {instance} ends',
-        'The upstream said that it ends. It gets no new work.',
-        _NOTHING,
+        'upstream {instance} deregistered',
+        'The upstream announced that it stops. It gets no new work.',
+        _NO_ACTION,
         rate=5,
     )
-    ANNOUNCEMENT_REFUSED = EventKind(
+    ANNOUNCEMENT_REFUSED = EventDefinition(
         'VM6007',
         logging.WARNING,
         'announcement refused: {reason}',
-        'A message to the announcement port names no upstream to use.',
-        'Look who sent it.',
+        'A message to the announcement port describes no usable upstream.',
+        'Find out which process sent it.',
         rate=5,
     )
-    CALL_FAILED = EventKind(
+    CALL_FAILED = EventDefinition(
         'VM6008',
         logging.INFO,
         'request {request} on {route}: {outcome}, {reason}',
         'A request was refused, timed out, failed or may have run. `tried` '
-        'lists the daemons it went to and what each said.',
-        'Follow the request id through the lines of the daemons in `tried`.',
+        'lists the daemons that were tried and the outcome at each.',
+        'Follow the request id through the logs of the daemons in `tried`.',
         rate=20,
     )
-    CALL_LATE = EventKind(
+    CALL_LATE = EventDefinition(
         'VM6009',
         logging.INFO,
         'request {request} on {route} answered late, after {ms} ms',
-        'The answer came after the latency objective of its route.',
-        _NOTHING,
+        'The answer exceeded the latency objective of the route.',
+        _NO_ACTION,
         rate=5,
     )
-    CALL_REJECTED = EventKind(
+    CALL_REJECTED = EventDefinition(
         'VM6010',
         logging.INFO,
         'request {request} for {target} rejected: {reason}',
-        'No route fits, or the request cannot be passed on as it is.',
-        'Compare the host and path with the configuration in force.',
+        'No route matches, or the request cannot be forwarded in this form.',
+        'Compare its host and path with the configuration in force.',
         rate=5,
     )
-    OWNER_REFUSED = EventKind(
+    OWNER_REFUSED = EventDefinition(
         'VM6011',
         logging.INFO,
         'request {request} of {route} not answered here: {reason}',
-        'This daemon refused a request that another one passed on, or its '
+        'This daemon refused a request that another daemon forwarded, or its '
         'upstream did not answer.',
-        'Look at `load` and at the lines of the upstream before it.',
+        'Check `load` and the previous lines about the upstream.',
         rate=20,
     )
-    RUN_ABORTED = EventKind(
+    RUN_ABORTED = EventDefinition(
         'VM6012',
         logging.INFO,
-        'run of request {request} of {route} broken off after {ms} ms',
-        'The daemon that passed the request on has closed the connection: its '
-        'caller left, or it no longer waits for this daemon (`stopping` tells '
-        'whether this daemon is stopping).',
-        'Look at the lines of `sender` at the same time; VM4001 there tells '
-        'that it took this daemon for lost.',
+        'request {request} of {route} aborted after {ms} ms',
+        'The daemon that forwarded the request closed the connection: the '
+        'caller left, or the daemon no longer waits for this one. `stopping` '
+        'tells whether this daemon is stopping.',
+        'Check the log of `sender` at the same time; VM4001 there means that '
+        'it considered its link to this daemon lost.',
         rate=5,
     )
-    UPSTREAM_CRASHED = EventKind(
+    UPSTREAM_CRASHED = EventDefinition(
         'VM6013',
         logging.WARNING,
-        'upstream {instance} crashed with {running} requests in hand',
-        'Its connections broke and nobody listens at its address, though it '
-        'did not say that it leaves. `fingerprints` names the requests that it '
-        'ran; a request that comes again has the same one.',
-        'Look for a fingerprint that is in the lines of several crashes: that '
-        'request may be the cause. VM6008 has it too, beside the request id.',
+        'upstream {instance} crashed with {running} requests in progress',
+        'Its connections broke and no process listens at its address, although '
+        'it did not announce that it leaves. `fingerprints` lists the requests '
+        'in progress; a repeated request has the same fingerprint.',
+        'Look for a fingerprint that several crashes have in common: that '
+        'request may be the cause. VM6008 names it with the request id.',
         rate=20,
     )
-    REQUEST_BLOCKED = EventKind(
+    REQUEST_BLOCKED = EventDefinition(
         'VM6014',
         logging.WARNING,
         'requests {about} with fingerprint {fingerprint} are blocked',
-        'Upstreams crashed under this request, those in `crashes`, and it '
-        'completed nowhere. All daemons refuse it for `wait` seconds; then one '
-        'copy runs alone, and clears it or renews the block.',
-        'Mend the upstream. `verbenamill fleet blocked` lists what is blocked, '
-        'and `verbenamill fleet unblock FINGERPRINT` lets it run again.',
+        'The upstreams in `crashes` crashed while they ran this request, and '
+        'it completed on none. All daemons refuse it for `wait` seconds. Then '
+        'a single copy runs, and its outcome clears or renews the block.',
+        'Fix the upstream. `verbenamill fleet blocked` lists the blocked '
+        'requests, and `verbenamill fleet unblock FINGERPRINT` unblocks one.',
         rate=20,
     )
-    REQUEST_UNBLOCKED = EventKind(
+    REQUEST_UNBLOCKED = EventDefinition(
         'VM6015',
         logging.INFO,
-        'requests {about} with fingerprint {fingerprint} run again',
-        'One has completed, or an operator has unblocked it.',
-        _NOTHING,
+        'requests {about} with fingerprint {fingerprint} are unblocked',
+        'One of them has completed, or an operator has unblocked them.',
+        _NO_ACTION,
         rate=20,
     )
-    UPSTREAM_LIMITED = EventKind(
+    UPSTREAM_LIMITED = EventDefinition(
         'VM6016',
         logging.WARNING,
-        'upstream {instance} takes {rate} requests a second',
-        'It names this limit in its answers. `before` is the limit of the line '
-        'before, if any; smaller changes have no line. `source` tells whether '
-        'an answer said so or another daemon remembered it.',
-        'Look why the upstream is in need. Its requests beyond the limit wait '
-        'or go to others; `verbenamill fleet status` shows all limits.',
+        'upstream {instance} accepts {rate} requests per second',
+        'The upstream names this limit in its responses. `before` is the limit '
+        'that was logged last, if any; small changes are not logged. `source` '
+        'tells whether a response or another daemon provided the limit.',
+        'Find out why the upstream is overloaded. Requests beyond the limit '
+        'wait or go to others; `verbenamill fleet status` shows all limits.',
         rate=5,
     )
-    UPSTREAM_UNLIMITED = EventKind(
+    UPSTREAM_UNLIMITED = EventDefinition(
         'VM6017',
         logging.INFO,
-        'upstream {instance} names no limit any more',
-        'An answer that was asked for after the limit of `before` requests a '
-        'second was last named does not name one.',
-        _NOTHING,
+        'upstream {instance} no longer names a limit',
+        'A response to a request that was sent after the limit of `before` '
+        'requests per second was last named contains no limit.',
+        _NO_ACTION,
         rate=5,
     )
-    UPSTREAM_LEAVING = EventKind(
+    UPSTREAM_LEAVING = EventDefinition(
         'VM6018',
         logging.INFO,
-        'upstream {instance} says in an answer that it leaves',
-        'It gets no new work, whatever its heartbeats say.',
-        _NOTHING,
+        'upstream {instance} announced in a response that it leaves',
+        'The upstream gets no new work, regardless of its heartbeats.',
+        _NO_ACTION,
         rate=5,
     )
-    INVARIANT_BROKEN = EventKind(
+    INVARIANT_BROKEN = EventDefinition(
         'VM9001',
         logging.CRITICAL,
-        'stopped by a broken invariant: {detail}',
-        'The program found itself in a state that must never be, and stopped '
-        'rather than answer callers from it.',
+        'stopped by a violated invariant: {detail}',
+        'The program reached a state that must never occur, and stopped '
+        'instead of serving callers from it.',
         'Keep the output and report it; the daemon may be started again.',
     )
 
     @property
-    def kind(self) -> EventKind:
-        """What is known of the event."""
+    def definition(self) -> EventDefinition:
+        """Definition of the event."""
         return self.value
 
 
 _HEADER = """# Events
 
-Every event that a daemon writes, by its code. The page is printed by
+All events that a daemon logs, by code. This page is generated by
 `python -m verbenamill_telemetry.events`; do not edit it by hand.
 
-With `[logging] format = "json"` an event is one line of JSON with the keys
-`at`, `level`, `code`, `message` and `fields`. An event that repeats too often
-is held back; the next one that is written has a field `suppressed` with the
-count of those that were not.
+With `[logging] format = "json"` each event is one line of JSON with the keys
+`at`, `level`, `code`, `message` and `fields`. Events that repeat too often
+are suppressed; the next one that is written has a field `suppressed` with the
+number of those that were not.
 """
 
 
 def render_catalogue() -> str:
-    """Text of the page with all events."""
-    kinds = [event.kind for event in Event]
+    """Return the text of the page that lists all events."""
+    definitions = [event.definition for event in Event]
     parts = [_HEADER]
-    for chapter, members in groupby(kinds, attrgetter('chapter')):
+    for chapter, group in groupby(definitions, attrgetter('chapter')):
         parts.append(f'\n## {chapter}\n')
-        parts.extend(map(_render, members))
+        parts.extend(map(_render, group))
     return ''.join(parts)
 
 
-def _render(kind: EventKind) -> str:
-    level = logging.getLevelName(kind.level)
+def _render(definition: EventDefinition) -> str:
+    level = logging.getLevelName(definition.level)
     return (
-        f'\n### {kind.code} ({level})\n\n'
-        f'    {kind.template}\n\n'
-        f'{kind.meaning}\n\n'
-        f'What to do: {kind.action}\n'
+        f'\n### {definition.code} ({level})\n\n'
+        f'    {definition.template}\n\n'
+        f'{definition.meaning}\n\n'
+        f'What to do: {definition.action}\n'
     )
 
 
--- a/libs/telemetry/src/verbenamill_telemetry/log_settings.py
+++ b/libs/telemetry/src/verbenamill_telemetry/log_settings.py
@@ -1,4 +1,4 @@
-"""How events are written: their least level and their form."""
+"""Settings of the log: minimum level and format."""
 
 from enum import Enum, unique
 from typing import Protocol
@@ -6,7 +6,7 @@
 
 @unique
 class LogLevel(str, Enum):
-    """Least severe events that are written."""
+    """Minimum severity of the events that are logged."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -16,26 +16,26 @@
 
 @unique
 class LogFormat(str, Enum):
-    """Form of a written event."""
+    """Format of the log."""
 
     TEXT = 'text'
     JSON = 'json'
 
 
 class LogSettings(Protocol):
-    """What a settings file says of the logs."""
+    """Settings of the log in a settings file."""
 
     @property
     def level(self) -> LogLevel:
-        """Least severe events that are written."""
+        """Minimum severity of the events that are logged."""
 
     @property
     def format(self) -> LogFormat:
-        """Form of a written event."""
+        """Format of the log."""
 
 
 class Sink(Protocol):
-    """Where lines are written."""
+    """Destination of the lines of the log."""
 
     def write(self, text: str, /) -> object:
         """Write a line."""
--- a/libs/telemetry/src/verbenamill_telemetry/logs.py
+++ b/libs/telemetry/src/verbenamill_telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Structured logging of numbered events, as text or lines of JSON."""
+"""Structured logging of events as text or as lines of JSON."""
 
 import logging
 import sys
@@ -11,37 +11,40 @@
 from msgspec import Struct
 
 from verbenamill_telemetry.events import Event
-from verbenamill_telemetry.log_settings import LogSettings, LogFormat, Sink
-
-#: Events of one code that may be written at once, and the time after which
-#: one more may.
-BURST = 20
-REFILL = timedelta(seconds=1)
-#: Outcomes and events that count apart; outcomes are few words, and this only
-#: bounds what a mistake could do.
+from verbenamill_telemetry.log_settings import LogFormat, LogSettings, Sink
+
+#: Size of a burst: how many events of one code may be written at once.
+BURST_EVENTS = 20
+#: Interval in which an event regains as many lines as its ``rate`` says.
+REFILL_INTERVAL = timedelta(seconds=1)
+#: Largest number of pairs of event and outcome that are limited separately.
+#: There are few outcomes; the limit bounds the memory if a field is misused.
 MAX_BUCKETS = 512
 
-#: Libraries that write a line a request; these would hide the events.
-_TALKATIVE = ('httpx', 'httpcore', 'hypercorn', 'quart')
+#: Libraries that log a line for each request and would hide the events.
+_VERBOSE_LIBRARIES = ('httpx', 'httpcore', 'hypercorn', 'quart')
 
 _logger = logging.getLogger('verbenamill')
 
 
 def log(event: Event, **fields: Any) -> None:
-    """Write one event.
+    """Log one event.
 
-    :param fields: values named in the event's template, and any others.
+    :param fields: values for the event's template, and additional ones.
     """
-    kind = event.kind
+    definition = event.definition
     _logger.log(
-        kind.level,
-        kind.template.format_map(_Fields(fields)),
+        definition.level,
+        definition.template.format_map(_Fields(fields)),
         extra={'event': event, 'fields': fields},
     )
 
 
 class _Fields(dict[str, Any]):
-    """Fields of a template; a missing one must not stop the daemon."""
+    """Fields of a template; a missing field is not an error.
+
+    Its name is written instead, because logging must not stop the daemon.
+    """
 
     def __missing__(self, name: str) -> str:
         return f'{{{name}}}'
@@ -54,26 +57,26 @@
     vm: str = '',
     elapsed: Callable[[], timedelta] = lambda: timedelta(seconds=monotonic()),
 ) -> None:
-    """Send all logging of the process to a stream.
+    """Configure all logging of the process to go to a stream.
 
-    :param vm: stands in each line of JSON, so that logs of several daemons
-        can be read together.
-    :param elapsed: monotonic time, for the limit on repeated events.
+    :param vm: name of the VM, which is added to each line of JSON so that the
+        logs of several daemons can be merged.
+    :param elapsed: monotonic clock for the limit on repeated events.
     """
-    as_json = settings.format is LogFormat.JSON
+    is_json = settings.format is LogFormat.JSON
     handler = logging.StreamHandler(stream)
-    handler.setFormatter(_JsonLines(vm) if as_json else _Text())
+    handler.setFormatter(_JsonFormatter(vm) if is_json else _TextFormatter())
     handler.addFilter(_RateLimit(elapsed).filter)
     root = logging.getLogger()
     root.handlers.clear()
     root.addHandler(handler)
     root.setLevel(settings.level.value.upper())
-    for library in _TALKATIVE:
+    for library in _VERBOSE_LIBRARIES:
         logging.getLogger(library).setLevel(logging.WARNING)
 
 
-class _Line(Struct, omit_defaults=True):
-    """An event as it is written; a library's own record has no code."""
+class _LogLine(Struct, omit_defaults=True):
+    """A line of the log; records of other libraries have no code."""
 
     at: datetime
     level: str
@@ -83,73 +86,79 @@
     vm: str = ''
 
 
-def _read(record: logging.LogRecord) -> _Line:
+def _build_line(record: logging.LogRecord) -> _LogLine:
     event: Event | None = getattr(record, 'event', None)
     message = record.getMessage() if event is None else str(record.msg)
     if record.exc_info:
-        failure = logging.Formatter().formatException(record.exc_info)
-        message = f'{message}\n{failure}'
-    return _Line(
+        traceback = logging.Formatter().formatException(record.exc_info)
+        message = f'{message}\n{traceback}'
+    return _LogLine(
         at=datetime.fromtimestamp(record.created, UTC),
         level=record.levelname,
-        code=None if event is None else event.kind.code,
+        code=None if event is None else event.definition.code,
         message=message,
         fields=getattr(record, 'fields', {}),
     )
 
 
-class _JsonLines(logging.Formatter):
+class _JsonFormatter(logging.Formatter):
     def __init__(self, vm: str) -> None:
         super().__init__()
         self._vm = vm
 
     def format(self, record: logging.LogRecord) -> str:
-        line = _read(record)
+        line = _build_line(record)
         line.vm = self._vm
         return msgspec.json.encode(line, enc_hook=str).decode()
 
 
-class _Text(logging.Formatter):
+class _TextFormatter(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
-        line = _read(record)
+        line = _build_line(record)
         at = line.at.isoformat(timespec='milliseconds')
-        parts = (at, line.level, line.code, line.message, _show_rest(record))
+        parts = (
+            at,
+            line.level,
+            line.code,
+            line.message,
+            _format_extra_fields(record),
+        )
         text = ' '.join(part for part in parts if part)
-        # A field may quote what a caller sent; a line break in it would
-        # let the caller write lines of its own into the log.
+        # Fields may contain data from callers. A line break in them would
+        # allow callers to forge lines of the log.
         return text.replace('\r', r'\r').replace('\n', r'\n')
 
 
-def _show_rest(record: logging.LogRecord) -> str:
-    """Fields that the message does not tell already."""
+def _format_extra_fields(record: logging.LogRecord) -> str:
+    """Format the fields that are not part of the message."""
     event: Event | None = getattr(record, 'event', None)
     if event is None:
         return ''
     fields: dict[str, Any] = record.__dict__['fields']
-    shown = ' '.join(
+    extra_fields = ' '.join(
         f'{name}={value}'
         for name, value in fields.items()
-        if f'{{{name}}}' not in event.kind.template
+        if f'{{{name}}}' not in event.definition.template
     )
-    return f'[{shown}]' if shown else ''
+    return f'[{extra_fields}]' if extra_fields else ''
 
 
 class _RateLimit:
-    """Holds back an event that repeats.
+    """Limits the rate of repeated events.
 
-    When an availability zone is cut off, each daemon loses hundreds of
-    links at once; without a limit the log would hide what matters and
-    cost more than the fault. The count of what was held back is enough.
-    Each outcome of an event counts apart: a flood of refused requests must
-    not hide the few that failed.
+    When an availability zone is cut off, each daemon loses hundreds of links
+    at once. Without a limit, the log would hide the important events and cost
+    more than the outage; the number of suppressed events is sufficient. Each
+    outcome of an event is limited separately: a flood of refused requests
+    must not hide the few that failed.
     """
 
     def __init__(self, elapsed: Callable[[], timedelta]) -> None:
         self._elapsed = elapsed
-        self._buckets: dict[tuple[Event, Any], _Bucket] = {}
+        self._buckets: dict[tuple[Event, Any], _TokenBucket] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a record is written."""
+        """Return whether to write a record."""
         event: Event | None = getattr(record, 'event', None)
         if event is None:
             return True
@@ -157,33 +166,37 @@
         outcome = record.__dict__['fields'].get('outcome')
         if len(self._buckets) >= MAX_BUCKETS:
             outcome = None
-        bucket = self._buckets.setdefault((event, outcome), _Bucket(now))
-        if not bucket.take(now, event.kind.rate):
+        bucket = self._buckets.setdefault((event, outcome), _TokenBucket(now))
+        if not bucket.take(now, event.definition.rate):
             bucket.suppressed += 1
             return False
         if bucket.suppressed:
-            held_back = {'suppressed': bucket.suppressed}
-            record.__dict__['fields'] = record.__dict__['fields'] | held_back
+            suppressed_count = {'suppressed': bucket.suppressed}
+            record.__dict__['fields'] = (
+                record.__dict__['fields'] | suppressed_count
+            )
             bucket.suppressed = 0
         return True
 
 
-class _Bucket:
-    """Tokens of one event; a token is one line that may be written."""
+class _TokenBucket:
+    """Token bucket of one event; each line that is written takes a token."""
 
     def __init__(self, now: timedelta) -> None:
         self.suppressed = 0
-        self._tokens = float(BURST)
-        self._since = now
+        self._tokens = float(BURST_EVENTS)
+        self._refilled_at = now
 
     def take(self, now: timedelta, rate: float) -> bool:
-        """Take a token, when there is one.
+        """Take a token if one is available.
 
-        :param rate: tokens that come back in each ``REFILL``.
+        :param rate: tokens that are added in each ``REFILL_INTERVAL``.
         """
-        refilled = self._tokens + rate * ((now - self._since) / REFILL)
-        self._since = now
-        self._tokens = min(refilled, BURST)
+        refilled = self._tokens + rate * (
+            (now - self._refilled_at) / REFILL_INTERVAL
+        )
+        self._refilled_at = now
+        self._tokens = min(refilled, BURST_EVENTS)
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/libs/telemetry/src/verbenamill_telemetry/streams.py
+++ b/libs/telemetry/src/verbenamill_telemetry/streams.py
@@ -1,19 +1,19 @@
-"""Standard output that never stops the daemon."""
+"""Output streams that never block the daemon."""
 
 import os
 from select import POLLOUT, poll
 
-#: A pipe that is writable takes this much without blocking (POSIX).
-PIPE_BUF = 4096
+#: Bytes that a writable pipe accepts without blocking (POSIX ``PIPE_BUF``).
+PIPE_BUF_BYTES = 4096
 
 
 class NonBlockingStream:
-    """Writes lines to a descriptor, and drops those it would wait for.
+    """Writes lines to a descriptor and drops lines that would block.
 
-    A reader of the logs that stops would otherwise stop the daemon with the
-    next line, and all calls with it.
+    Otherwise a process that stops reading the log would block the daemon at
+    the next line, and with it all calls.
 
-    :param descriptor: an open one, such as 1.
+    :param descriptor: an open file descriptor, such as 1.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -24,20 +24,21 @@
 
     @property
     def dropped(self) -> int:
-        """Lines that were not written."""
+        """Number of lines that were not written."""
         return self._dropped
 
     def write(self, text: str) -> int:
-        """Write at once or not at all."""
+        """Write the text without blocking, or drop it."""
         data = text.encode('utf-8', 'replace')
-        if len(data) > PIPE_BUF:
-            data = b'%b\n' % data[: PIPE_BUF - 1]
+        if len(data) > PIPE_BUF_BYTES:
+            data = b'%b\n' % data[: PIPE_BUF_BYTES - 1]
         try:
             if self._poll.poll(0):
                 os.write(self._descriptor, data)
                 return len(text)
         except OSError:
-            # Nobody reads any more; there is nowhere to say so.
+            # The reader has closed the stream, so the error cannot be
+            # reported.
             self._dropped += 1
             return len(text)
         self._dropped += 1
