--- a/libs/http/src/verbenamill_http/sockets.py
+++ b/libs/http/src/verbenamill_http/sockets.py
@@ -48,12 +48,12 @@
 
     :return: the number of bytes; 0 if the kernel does not provide it.
     """
-    count = array('i', [0])
+    unacknowledged = array('i', [0])
     try:
-        ioctl(sock, TIOCOUTQ, count)
+        ioctl(sock, TIOCOUTQ, unacknowledged)
     except OSError:
         return 0
-    return count[0]
+    return unacknowledged[0]
 
 
 async def connect(
@@ -69,17 +69,17 @@
     """
     family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
-    connected = False
+    is_connected = False
     try:
         sock.setblocking(False)
         set_tcp_options(sock, user_timeout_ms=user_timeout_ms)
-        connected = await _finish_connecting(sock, address, timeout)
+        is_connected = await _finish_connecting(sock, address, timeout)
     except OSError:
-        connected = False
+        is_connected = False
     finally:
-        if not connected:
+        if not is_connected:
             sock.close()
-    return sock if connected else None
+    return sock if is_connected else None
 
 
 async def _finish_connecting(
@@ -90,11 +90,11 @@
     try:
         sock.connect((address.host, address.port))
     except BlockingIOError:
-        writable = False
+        is_writable = False
         with trio.move_on_after(timeout):
             await trio.lowlevel.wait_writable(sock)
-            writable = True
-        if not writable:
+            is_writable = True
+        if not is_writable:
             return False
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
 
