--- a/libs/sidecar/src/verbenamill_sidecar/reading.py
+++ b/libs/sidecar/src/verbenamill_sidecar/call_reader.py
@@ -13,7 +13,7 @@
 from verbenamill_policy.routes import Route, SplitCounter
 from verbenamill_sidecar.call import Call
 from verbenamill_sidecar.ingress_context import IngressContext
-from verbenamill_sidecar.learned import Learned
+from verbenamill_sidecar.route_statistics import Learned
 from verbenamill_sidecar.responses import come_back, find_fault, error_response
 from verbenamill_telemetry import Event, log
 
--- a/libs/sidecar/src/verbenamill_sidecar/forwarding.py
+++ b/libs/sidecar/src/verbenamill_sidecar/forwarding.py
@@ -11,7 +11,7 @@
 from verbenamill_policy.members import UpstreamRecord
 from verbenamill_sidecar.call import Call, Outcome, not_run, unknown
 from verbenamill_sidecar.hop import HopCall, encode_hop, read_outcome
-from verbenamill_sidecar.linking import MAX_ANSWER
+from verbenamill_sidecar.upstream_link import MAX_ANSWER
 from verbenamill_sidecar.peers import SuspicionCallback, Peer
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/ingress.py
+++ b/libs/sidecar/src/verbenamill_sidecar/ingress.py
@@ -23,18 +23,18 @@
     not_run,
 )
 from verbenamill_sidecar.ingress_context import IngressContext
-from verbenamill_sidecar.learned import Learned
+from verbenamill_sidecar.route_statistics import Learned
 from verbenamill_sidecar.forwarding import forward_call
 from verbenamill_sidecar.peers import SuspicionCallback, Peer, with_version
 from verbenamill_sidecar.racing import Race
-from verbenamill_sidecar.reading import CallReader
+from verbenamill_sidecar.call_reader import CallReader
 from verbenamill_sidecar.responses import (
     come_back,
     error_response,
     refuse_blocked,
 )
 from verbenamill_sidecar.suspects import BLOCKED_REASON, Entry, identify
-from verbenamill_sidecar.tries import Tries
+from verbenamill_sidecar.attempts import Tries
 from verbenamill_telemetry import Event, log
 
 #: Owners asked for room in turn; each takes a round trip, and if three have
--- a/libs/sidecar/src/verbenamill_sidecar/local_upstream.py
+++ b/libs/sidecar/src/verbenamill_sidecar/local_upstream.py
@@ -38,15 +38,15 @@
 )
 from verbenamill_sidecar.crashing import CrashDetector
 from verbenamill_sidecar.in_band import read_in_band
-from verbenamill_sidecar.limiting import LimitKeeper
-from verbenamill_sidecar.linking import UpstreamLink, max_idle_of
+from verbenamill_sidecar.rate_limiting import LimitKeeper
+from verbenamill_sidecar.upstream_link import UpstreamLink, max_idle_of
 from verbenamill_sidecar.protocol import HeaderNames, LeaveAnnouncement
 from verbenamill_sidecar.suspects import (
     BLOCKED_REASON,
     Identity,
     SuspectGate,
 )
-from verbenamill_sidecar.tries import AT_LIMIT
+from verbenamill_sidecar.attempts import AT_LIMIT
 from verbenamill_telemetry import Event, log
 
 #: A kept connection that breaks this soon was dead before, in seconds.
