--- a/libs/bench/src/verbenamill_bench/moves.py
+++ b/libs/bench/src/verbenamill_bench/moves.py
@@ -18,7 +18,7 @@
     World,
 )
 from verbenamill_model.typing import AvailabilityZone, Profile, VmId
-from verbenamill_moves import Caution, Decider
+from verbenamill_moves import Decider, DecisionThresholds
 
 
 def _make_decider(vm: VmId, zone: AvailabilityZone) -> StepsMoves:
@@ -26,12 +26,12 @@
 
 
 def _make_cautious(
-    caution: Caution,
+    caution: DecisionThresholds,
     vm: VmId,
     zone: AvailabilityZone,
 ) -> StepsMoves:
-    cautions = {Profile.CAUTIOUS: caution}
-    return Decider(vm=vm, availability_zone=zone, cautions=cautions)
+    thresholds = {Profile.CAUTIOUS: caution}
+    return Decider(vm=vm, availability_zone=zone, thresholds=thresholds)
 
 
 def _make_plain(
@@ -45,10 +45,18 @@
 
 #: Points of the trade-off curve, from trusting to wary.
 _CURVE = {
-    'caution-1': Caution(alpha=0.0001, doubtful=20, calls_wanted=0),
-    'caution-2': Caution(alpha=0.002, doubtful=5, calls_wanted=0),
-    'caution-3': Caution(alpha=0.005, doubtful=3, calls_wanted=40),
-    'caution-4': Caution(alpha=0.02, doubtful=2, calls_wanted=100),
+    'caution-1': DecisionThresholds(
+        alpha=0.0001, max_weight_at_deadline=20, min_calls=0
+    ),
+    'caution-2': DecisionThresholds(
+        alpha=0.002, max_weight_at_deadline=5, min_calls=0
+    ),
+    'caution-3': DecisionThresholds(
+        alpha=0.005, max_weight_at_deadline=3, min_calls=40
+    ),
+    'caution-4': DecisionThresholds(
+        alpha=0.02, max_weight_at_deadline=2, min_calls=100
+    ),
 }
 
 
--- a/libs/bench/src/verbenamill_bench/moves_baselines.py
+++ b/libs/bench/src/verbenamill_bench/moves_baselines.py
@@ -14,13 +14,13 @@
 )
 from verbenamill_moves import (
     Action,
+    AppendVerdict,
     MoveState,
-    Publish,
-    Settle,
-    decider_of,
+    PublishState,
+    choose_decider,
 )
-from verbenamill_moves.evidence import read_report
-from verbenamill_moves.stages import FULL, STAGES, plan_move
+from verbenamill_moves.evidence import decode_report
+from verbenamill_moves.stages import FULL_STAGE, STAGES, plan_move
 
 _LIMIT = 0.05
 _MIN_CALLS = 20
@@ -49,7 +49,7 @@
 
     def receive(self, sender: VmId, report: bytes) -> None:
         """Take an owner's report."""
-        told = read_report(report)
+        told = decode_report(report)
         if told is None or self._now is None:
             return
         counts = [
@@ -86,7 +86,7 @@
             move = known.move
             if move is None:
                 continue
-            if decider_of(move, self._zone, members) == self._vm:
+            if choose_decider(move, self._zone, members) == self._vm:
                 state = states.get(move.id, MoveState())
                 actions.extend(self._decide(move, state, now))
         return tuple(actions)
@@ -102,7 +102,7 @@
             return
         if self._limited and self._failed_share() > _LIMIT:
             vetoed = MoveState(veto=True, reason='error rate')
-            yield Publish(move=move.id, state=vetoed)
+            yield PublishState(move=move.id, state=vetoed)
             return
         plan = plan_move(move, first_ready=move.accepted_at)
         due = [
@@ -113,8 +113,8 @@
         stage = max(due)
         if stage > state.stages.get(self._zone, 0):
             stages = {self._zone: stage}
-            yield Publish(move=move.id, state=MoveState(stages=stages))
-        elif stage == FULL:
+            yield PublishState(move=move.id, state=MoveState(stages=stages))
+        elif stage == FULL_STAGE:
             yield self._settle(move, VerdictKind.DONE)
 
     def _failed_share(self) -> float:
@@ -122,8 +122,8 @@
         failed = sum(grown[2] for grown in self._grown)
         return failed / calls if calls >= _MIN_CALLS else 0
 
-    def _settle(self, move: Move, kind: VerdictKind) -> Settle:
-        return Settle(
+    def _settle(self, move: Move, kind: VerdictKind) -> AppendVerdict:
+        return AppendVerdict(
             record=VerdictRecord(
                 move=move.id,
                 service=move.service,
--- a/libs/bench/src/verbenamill_bench/moves_world.py
+++ b/libs/bench/src/verbenamill_bench/moves_world.py
@@ -37,17 +37,17 @@
 )
 from verbenamill_moves import (
     Action,
-    Evidence,
+    AppendVerdict,
+    EvidenceCollector,
     MoveState,
-    Note,
-    Publish,
-    Send,
-    Settle,
-    decider_of,
+    PublishState,
+    SendReport,
+    WriteAuditLine,
+    choose_decider,
     decode_move_states,
     encode_move_state,
     merge_states,
-    shares,
+    split_traffic,
 )
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
@@ -147,7 +147,7 @@
         self._due: list[_Due] = []
         self._ending: dict[int, list[_Ended]] = defaultdict(list)
         self._members: dict[VmId, Member] = {}
-        self._evidence: dict[VmId, Evidence] = {}
+        self._evidence: dict[VmId, EvidenceCollector] = {}
         self._deciders: dict[VmId, StepsMoves] = {}
         self._warm: dict[VmId, int] = {}
         self._paused: dict[VmId, float] = {}
@@ -256,7 +256,7 @@
             ),
         )
         incarnation = self._random.getrandbits(32)
-        self._evidence[vm] = Evidence(
+        self._evidence[vm] = EvidenceCollector(
             incarnation=incarnation,
             clock=self,
         )
@@ -341,7 +341,7 @@
                 self._result.known_at = self._now
 
     def _share(self, zone: _Zone) -> float:
-        split = shares(
+        split = split_traffic(
             zone.service,
             self._state(zone),
             availability_zone=zone.name,
@@ -379,7 +379,7 @@
         if move is None or body is None:
             return
         self._result.report_bytes = max(self._result.report_bytes, len(body))
-        to = decider_of(move, zone.name, zone.members)
+        to = choose_decider(move, zone.name, zone.members)
         lost = self._random.random() < _REPORT_LOST
         if to is not None and not lost and self._is_awake(to):
             self._later(_TICK / 2, lambda: self._receive(to, vm, body))
@@ -387,14 +387,14 @@
     def _is_awake(self, vm: VmId) -> bool:
         return vm in self._members and self._paused.get(vm, 0) <= self._now
 
-    def _send(self, zone: _Zone, vm: VmId, message: Send) -> None:
-        member = self._members.get(message.to)
+    def _send(self, zone: _Zone, vm: VmId, message: SendReport) -> None:
+        member = self._members.get(message.recipient)
         if member is None or self._random.random() < _REPORT_LOST:
             return
         if not self._parted_names(zone, member.availability_zone):
             self._later(
                 self._random.uniform(*_NEAR),
-                lambda: self._receive(message.to, vm, message.body),
+                lambda: self._receive(message.recipient, vm, message.body),
             )
 
     def _receive(self, to: VmId, vm: VmId, body: bytes) -> None:
@@ -411,13 +411,13 @@
         )
         for action in actions:
             match action:
-                case Publish():
+                case PublishState():
                     self._publish(zone, encode_move_state(action.state))
-                case Send():
+                case SendReport():
                     self._send(zone, vm, action)
-                case Settle():
+                case AppendVerdict():
                     self._append(zone, action.record)
-                case Note():
+                case WriteAuditLine():
                     line = f'{self._now:7.1f} {vm}: {action.text}'
                     self._result.notes.append(line)
 
@@ -536,7 +536,7 @@
         move = zone.service.move
         if move is None:
             return None
-        return decider_of(move, zone.name, zone.members)
+        return choose_decider(move, zone.name, zone.members)
 
     def _kill(self, vm: VmId | None) -> None:
         if vm is None or vm not in self._members:
--- a/libs/daemon/src/verbenamill_daemon/moving.py
+++ b/libs/daemon/src/verbenamill_daemon/moving.py
@@ -12,27 +12,27 @@
 from verbenamill_model.traffic import Member, Observation, Shares
 from verbenamill_model.typing import Offset, ServiceName, VmId
 from verbenamill_moves import (
+    MOVES_TOPIC,
     REPORT_KIND,
-    TOPIC,
+    AppendVerdict,
     Decider,
-    Evidence,
+    EvidenceCollector,
     MoveState,
-    Note,
-    Publish,
-    Send,
-    Settle,
-    decider_of,
+    PublishState,
+    SendReport,
+    WriteAuditLine,
+    choose_decider,
     decode_move_states,
     encode_move_state,
+    is_report_due,
     merge_states,
     move_key,
-    reports_now,
-    shares,
+    split_traffic,
 )
 from verbenamill_runtime import Clock
+from verbenamill_runtime.streams import AuditLine
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
-from verbenamill_runtime.streams import AuditLine
 
 #: Time between two reports of an owner, and two steps of a decider.
 PERIOD = timedelta(milliseconds=250)
@@ -61,7 +61,7 @@
         self._audit = audit
         self._clock = clock
         me = member()
-        self._evidence = Evidence(
+        self._evidence = EvidenceCollector(
             incarnation=me.incarnation,
             clock=clock,
         )
@@ -74,7 +74,7 @@
         self._states: dict[Offset, MoveState] = {}
         self._find_running = cache_last(_find_running)
         self._find_owners = cache_last(_find_owners)
-        mesh.add_topic(TOPIC, merge_states)
+        mesh.add_topic(MOVES_TOPIC, merge_states)
         mesh.handle(REPORT_KIND, self._decider.receive)
 
     def observe(self, observation: Observation) -> None:
@@ -86,7 +86,7 @@
         service = self._configuration.snapshot.services[name]
         if service.move is None:
             return {service.version: 1}
-        return shares(
+        return split_traffic(
             service,
             self.states().get(service.move.id),
             availability_zone=self._member().availability_zone,
@@ -102,7 +102,7 @@
 
         Every call asks for it, so it is decoded again only after a change.
         """
-        encoded = self._mesh.entries(TOPIC)
+        encoded = self._mesh.entries(MOVES_TOPIC)
         if encoded != self._encoded:
             self._encoded = dict(encoded)
             self._states = decode_move_states(encoded)
@@ -129,9 +129,9 @@
         zone = member.availability_zone
         owners = self._owners()
         self._period += 1
-        if not reports_now(member.id, zone, owners, period=self._period):
+        if not is_report_due(member.id, zone, owners, period=self._period):
             return
-        decider = decider_of(service.move, zone, owners)
+        decider = choose_decider(service.move, zone, owners)
         report = self._evidence.report()
         if decider is not None and report is not None:
             self._mesh.send(decider, REPORT_KIND, report)
@@ -152,15 +152,15 @@
         )
         for action in actions:
             match action:
-                case Publish(move=move, state=state):
+                case PublishState(move=move, state=state):
                     self._log_veto(move, state)
                     body = encode_move_state(state)
-                    self._mesh.put(TOPIC, move_key(move), body)
-                case Send(to=to, body=report):
-                    self._mesh.send(to, REPORT_KIND, report)
-                case Settle(record=record):
+                    self._mesh.put(MOVES_TOPIC, move_key(move), body)
+                case SendReport(recipient=recipient, body=report):
+                    self._mesh.send(recipient, REPORT_KIND, report)
+                case AppendVerdict(record=record):
                     nursery.start_soon(self._settler.settle, record)
-                case Note():
+                case WriteAuditLine():
                     self._note(action)
 
     def _log_veto(self, move: Offset, state: MoveState) -> None:
@@ -175,7 +175,7 @@
                     text=state.reason,
                 )
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: WriteAuditLine) -> None:
         log(
             Event.MOVE_STAGE,
             move=note.move,
@@ -201,7 +201,7 @@
         offset = self._configuration.state.offset
         running = {move_key(move.id) for move in self.running()}
         self._mesh.drop(
-            TOPIC,
+            MOVES_TOPIC,
             lambda key: int(key) > offset or key in running,
         )
 
--- a/libs/moves/src/verbenamill_moves/__init__.py
+++ b/libs/moves/src/verbenamill_moves/__init__.py
@@ -1,39 +1,45 @@
 """Evidence, stages and verdicts of moves between upstream versions."""
 
-from verbenamill_moves.actions import Action, Note, Publish, Send, Settle
-from verbenamill_moves.choice import decider_of, reports_now
+from verbenamill_moves.actions import (
+    Action,
+    AppendVerdict,
+    PublishState,
+    SendReport,
+    WriteAuditLine,
+)
+from verbenamill_moves.choice import choose_decider, is_report_due
 from verbenamill_moves.decider import Decider
-from verbenamill_moves.evidence import Evidence
-from verbenamill_moves.split import shares
+from verbenamill_moves.evidence import EvidenceCollector
+from verbenamill_moves.split import split_traffic
 from verbenamill_moves.state import (
+    MOVES_TOPIC,
     REPORT_KIND,
-    TOPIC,
     MoveState,
     decode_move_states,
     encode_move_state,
     merge_states,
     move_key,
 )
-from verbenamill_moves.view import CAUTIONS, Caution
+from verbenamill_moves.view import THRESHOLDS_BY_PROFILE, DecisionThresholds
 
 __all__ = (
+    'MOVES_TOPIC',
     'REPORT_KIND',
-    'TOPIC',
-    'CAUTIONS',
+    'THRESHOLDS_BY_PROFILE',
     'Action',
-    'Caution',
+    'AppendVerdict',
     'Decider',
-    'Evidence',
+    'DecisionThresholds',
+    'EvidenceCollector',
     'MoveState',
-    'Note',
-    'Publish',
-    'Send',
-    'Settle',
-    'decider_of',
+    'PublishState',
+    'SendReport',
+    'WriteAuditLine',
+    'choose_decider',
     'decode_move_states',
     'encode_move_state',
+    'is_report_due',
     'merge_states',
     'move_key',
-    'reports_now',
-    'shares',
+    'split_traffic',
 )
--- a/libs/moves/src/verbenamill_moves/actions.py
+++ b/libs/moves/src/verbenamill_moves/actions.py
@@ -9,27 +9,27 @@
 from verbenamill_moves.state import MoveState
 
 
-class Publish(Struct, frozen=True, kw_only=True):
+class PublishState(Struct, frozen=True, kw_only=True):
     """Tell the other daemons a move's new state."""
 
     move: Offset
     state: MoveState
 
 
-class Settle(Struct, frozen=True, kw_only=True):
+class AppendVerdict(Struct, frozen=True, kw_only=True):
     """Append a verdict; given again until it is in force."""
 
     record: VerdictRecord
 
 
-class Send(Struct, frozen=True, kw_only=True):
+class SendReport(Struct, frozen=True, kw_only=True):
     """Send a report to the decider of another availability zone."""
 
-    to: VmId
+    recipient: VmId
     body: bytes
 
 
-class Note(Struct, frozen=True, kw_only=True):
+class WriteAuditLine(Struct, frozen=True, kw_only=True):
     """A step and its cause, for the audit trail."""
 
     at: datetime
@@ -38,4 +38,4 @@
     text: str
 
 
-Action = Publish | Settle | Send | Note
+Action = PublishState | AppendVerdict | SendReport | WriteAuditLine
--- a/libs/moves/src/verbenamill_moves/choice.py
+++ b/libs/moves/src/verbenamill_moves/choice.py
@@ -15,7 +15,7 @@
 REPORTS_A_PERIOD = 6
 
 
-def decider_of(
+def choose_decider(
     move: Move,
     availability_zone: AvailabilityZone,
     members: Mapping[VmId, Member],
@@ -42,7 +42,7 @@
     return member.upstream is not None and member.upstream.service == service
 
 
-def reports_now(
+def is_report_due(
     vm: VmId,
     availability_zone: AvailabilityZone,
     owners: Mapping[VmId, Member],
--- a/libs/moves/src/verbenamill_moves/decider.py
+++ b/libs/moves/src/verbenamill_moves/decider.py
@@ -16,15 +16,26 @@
     VerdictKind,
     VmId,
 )
-from verbenamill_moves.actions import Action, Note, Publish, Send, Settle
-from verbenamill_moves.choice import decider_of, owns, weigh
+from verbenamill_moves.actions import (
+    Action,
+    AppendVerdict,
+    PublishState,
+    SendReport,
+    WriteAuditLine,
+)
+from verbenamill_moves.choice import choose_decider, owns, weigh
 from verbenamill_moves.doubt import find_veto
-from verbenamill_moves.evidence import Report, read_report
+from verbenamill_moves.evidence import Report, decode_report
 from verbenamill_moves.growth import find_growth
-from verbenamill_moves.stages import FULL, STAGES
+from verbenamill_moves.stages import FULL_STAGE, STAGES
 from verbenamill_moves.state import MoveState, join
 from verbenamill_moves.tally import MoveTally
-from verbenamill_moves.view import CAUTIONS, Caution, View, is_ready
+from verbenamill_moves.view import (
+    THRESHOLDS_BY_PROFILE,
+    DecisionThresholds,
+    View,
+    is_ready,
+)
 
 #: A decider that did not step for so long was paused,
 _PAUSE = timedelta(seconds=3)
@@ -61,7 +72,7 @@
     """Acts for the moves that it is chosen for in its availability zone.
 
     :param vm: the daemon it runs in.
-    :param cautions: how doubt is resolved, by the profile of a move.
+    :param thresholds: how doubt is resolved, by the profile of a move.
     """
 
     def __init__(
@@ -69,11 +80,13 @@
         *,
         vm: VmId,
         availability_zone: AvailabilityZone,
-        cautions: Mapping[Profile, Caution] = CAUTIONS,
+        thresholds: Mapping[
+            Profile, DecisionThresholds
+        ] = THRESHOLDS_BY_PROFILE,
     ) -> None:
         self._vm = vm
         self._zone = availability_zone
-        self._cautions = cautions
+        self._cautions = thresholds
         self._members: Mapping[VmId, Member] = {}
         self._moves: dict[Offset, Move] = {}
         self._progress: dict[Offset, _Progress] = {}
@@ -85,7 +98,7 @@
         From another availability zone only its decider is heard: two that
         both hold themselves chosen would have the zone's calls count twice.
         """
-        told = read_report(report)
+        told = decode_report(report)
         if told is None:
             return
         for version in told.versions:
@@ -108,7 +121,7 @@
         self._follow(snapshot, members, now)
         actions: list[Action] = []
         for move in self._moves.values():
-            if decider_of(move, self._zone, self._members) != self._vm:
+            if choose_decider(move, self._zone, self._members) != self._vm:
                 self._progress.pop(move.id, None)
                 continue
             state = states.get(move.id, MoveState())
@@ -128,7 +141,7 @@
         for move in self._moves.values():
             if move.service != service or move.id not in self._progress:
                 continue
-            if zone == self._zone or sender == decider_of(
+            if zone == self._zone or sender == choose_decider(
                 move,
                 zone,
                 self._members,
@@ -194,8 +207,10 @@
         if step is not None:
             told, reason = step
             state = join(state, told)
-            yield Publish(move=move.id, state=state)
-            yield Note(at=now, move=move.id, service=move.service, text=reason)
+            yield PublishState(move=move.id, state=state)
+            yield WriteAuditLine(
+                at=now, move=move.id, service=move.service, text=reason
+            )
         yield from self._settle(view, state, progress)
         yield from self._relay(view, progress)
 
@@ -257,7 +272,7 @@
         view: View,
         state: MoveState,
         progress: _Progress,
-    ) -> Iterator[Settle]:
+    ) -> Iterator[AppendVerdict]:
         kind = _find_verdict(view, state)
         if kind is None:
             return
@@ -271,7 +286,7 @@
             return
         progress.settled_at = view.now + _REPEAT
         done = f'{view.calls} calls of {view.move.new} seen in {self._zone}'
-        yield Settle(
+        yield AppendVerdict(
             record=VerdictRecord(
                 move=view.move.id,
                 service=view.move.service,
@@ -281,7 +296,7 @@
             ),
         )
 
-    def _relay(self, view: View, progress: _Progress) -> Iterator[Send]:
+    def _relay(self, view: View, progress: _Progress) -> Iterator[SendReport]:
         """Tell the other zones what this one saw.
 
         A service with few calls shows a bad version soon enough only when
@@ -297,9 +312,9 @@
         progress.relays += 1
         first = progress.relays * _RELAYS_A_STEP % len(others)
         for zone in (*others[first:], *others[:first])[:_RELAYS_A_STEP]:
-            to = decider_of(view.move, zone, view.members)
+            to = choose_decider(view.move, zone, view.members)
             if to is not None:
-                yield Send(to=to, body=body)
+                yield SendReport(recipient=to, body=body)
 
     def _rank(self, view: View) -> int:
         own = weigh(view.move.id, self._zone)
@@ -309,9 +324,11 @@
 def _find_verdict(view: View, state: MoveState) -> VerdictKind | None:
     if state.veto:
         return VerdictKind.TAKEN_BACK
-    if state.stages.get(view.availability_zone, 0) < FULL:
+    if state.stages.get(view.availability_zone, 0) < FULL_STAGE:
         return None
-    complete = all(state.stages.get(known, 0) >= FULL for known in view.zones)
+    complete = all(
+        state.stages.get(known, 0) >= FULL_STAGE for known in view.zones
+    )
     # A zone whose decider is slow must not make the verdict late; the
     # verdict itself gives that zone's calls to the new version.
     if complete or view.now >= view.plan.last_call:
--- a/libs/moves/src/verbenamill_moves/doubt.py
+++ b/libs/moves/src/verbenamill_moves/doubt.py
@@ -2,7 +2,7 @@
 
 from verbenamill_model.checks import MIN_MOVE
 from verbenamill_model.typing import Profile
-from verbenamill_moves.stages import CANARY, FULL
+from verbenamill_moves.stages import CANARY_STAGE, FULL_STAGE
 from verbenamill_moves.view import View
 
 
@@ -15,7 +15,7 @@
     begun = max(view.state.stages.values(), default=0)
     if view.now >= move.deadline and not begun:
         return f'no upstream of {move.new} was ready before the deadline'
-    if view.now >= view.plan.settle and 0 < begun < FULL:
+    if view.now >= view.plan.settle and 0 < begun < FULL_STAGE:
         return _find_doubt(view) or _find_lateness(view, begun)
     return None
 
@@ -23,7 +23,10 @@
 def _find_doubt(view: View) -> str | None:
     """Why a move is not to be completed at its deadline, or ``None``."""
     finding = view.finding
-    if finding is not None and finding.weight >= view.caution.doubtful:
+    if (
+        finding is not None
+        and finding.weight >= view.caution.max_weight_at_deadline
+    ):
         return f'doubt at the deadline: {finding.describe()}'
     if view.refuses:
         # A version whose port is closed fails no call and answers none.
@@ -37,7 +40,7 @@
 
 
 def _find_few_calls(view: View) -> str | None:
-    wanted = view.caution.calls_wanted
+    wanted = view.caution.min_calls
     if view.calls < wanted:
         return (
             f'doubt at the deadline: {view.calls} calls of {view.move.new}, '
@@ -55,7 +58,7 @@
     move = view.move
     latest = move.deadline - MIN_MOVE
     first_ready = view.first_ready
-    if begun > CANARY or first_ready is None or first_ready <= latest:
+    if begun > CANARY_STAGE or first_ready is None or first_ready <= latest:
         return None
     left = (move.deadline - first_ready).total_seconds()
     return (
--- a/libs/moves/src/verbenamill_moves/evidence.py
+++ b/libs/moves/src/verbenamill_moves/evidence.py
@@ -64,7 +64,7 @@
 _decoder = msgspec.msgpack.Decoder(Report)
 
 
-def read_report(body: bytes) -> Report | None:
+def decode_report(body: bytes) -> Report | None:
     """Decode a report; ``None`` when it cannot be read."""
     try:
         return _decoder.decode(body)
@@ -77,7 +77,7 @@
     return msgspec.msgpack.encode(report)
 
 
-class Evidence:
+class EvidenceCollector:
     """Counts what an owner sees; bounded in versions, routes and buckets.
 
     :param incarnation: of the owner; differs at each start of the daemon.
--- a/libs/moves/src/verbenamill_moves/growth.py
+++ b/libs/moves/src/verbenamill_moves/growth.py
@@ -3,7 +3,13 @@
 from msgspec import Struct
 
 from verbenamill_model.typing import Profile
-from verbenamill_moves.stages import CANARY, FULL, HOLD, STAGES, Plan
+from verbenamill_moves.stages import (
+    CANARY_STAGE,
+    FULL_STAGE,
+    HOLD_STAGE,
+    STAGES,
+    Plan,
+)
 from verbenamill_moves.view import View
 
 #: Fraction of the plan at which an on-time move grows in spite of suspicion.
@@ -30,13 +36,13 @@
     """
     stage = view.stage
     ready = view.ready_zones
-    if stage >= FULL or not ready:
+    if stage >= FULL_STAGE or not ready:
         return None
     if view.availability_zone not in ready:
         led = min(view.state.stages.get(zone, 0) for zone in ready)
         return Growth(led, 'other zones lead') if stage < led else None
-    if stage >= CANARY and view.now >= view.plan.settle:
-        return Growth(FULL, f'the plan, after {view.calls} calls')
+    if stage >= CANARY_STAGE and view.now >= view.plan.settle:
+        return Growth(FULL_STAGE, f'the plan, after {view.calls} calls')
     clean = stage_calls >= _STAGE_CALLS
     reason = _find_due(view, view.plan, stage + 1, clean=clean)
     return Growth(stage + 1, reason) if reason else None
@@ -53,7 +59,7 @@
     wanted = STAGES[stage]
     if view.now < plan.time_of(wanted.earliest):
         return None
-    if stage <= CANARY:
+    if stage <= CANARY_STAGE:
         return 'the plan'
     waits = _has_to_wait(view, plan, stage)
     if clean and not view.suspicious and not waits:
@@ -68,7 +74,7 @@
         return True
     control = view.call_rate * (1 - STAGES[stage].share)
     late = view.now >= plan.time_of(_CONTROL_UNTIL)
-    return stage >= HOLD and control < _CONTROL_RATE and not late
+    return stage >= HOLD_STAGE and control < _CONTROL_RATE and not late
 
 
 def _can_wait(view: View, plan: Plan) -> bool:
--- a/libs/moves/src/verbenamill_moves/split.py
+++ b/libs/moves/src/verbenamill_moves/split.py
@@ -5,11 +5,11 @@
 from verbenamill_model.state import ServiceState
 from verbenamill_model.traffic import Shares
 from verbenamill_model.typing import AvailabilityZone
-from verbenamill_moves.stages import FULL, STAGES
+from verbenamill_moves.stages import FULL_STAGE, STAGES
 from verbenamill_moves.state import MoveState
 
 
-def shares(
+def split_traffic(
     service: ServiceState,
     state: MoveState | None,
     *,
@@ -39,4 +39,4 @@
 
 def _stage_in(state: MoveState, availability_zone: AvailabilityZone) -> int:
     behind = min(state.stages.values(), default=0)
-    return min(state.stages.get(availability_zone, behind), FULL)
+    return min(state.stages.get(availability_zone, behind), FULL_STAGE)
--- a/libs/moves/src/verbenamill_moves/stages.py
+++ b/libs/moves/src/verbenamill_moves/stages.py
@@ -33,9 +33,9 @@
     Stage(share=0.95, earliest=0.55, latest=0.72),
     Stage(share=1, earliest=1, latest=1),
 )
-CANARY = 2
-HOLD = len(STAGES) - 2
-FULL = len(STAGES) - 1
+CANARY_STAGE = 2
+HOLD_STAGE = len(STAGES) - 2
+FULL_STAGE = len(STAGES) - 1
 
 #: Time before the deadline for the verdict to get on the log and in force,
 #: as a part of the window and at most.
--- a/libs/moves/src/verbenamill_moves/state.py
+++ b/libs/moves/src/verbenamill_moves/state.py
@@ -8,7 +8,7 @@
 from verbenamill_model.typing import AvailabilityZone, Offset
 
 #: Topic of the mesh that carries move states, keyed by :func:`move_key`.
-TOPIC = 'moves'
+MOVES_TOPIC = 'moves'
 #: Kind of mesh message that carries an owner's evidence to a decider.
 REPORT_KIND = 'evidence'
 
--- a/libs/moves/src/verbenamill_moves/view.py
+++ b/libs/moves/src/verbenamill_moves/view.py
@@ -22,7 +22,7 @@
 _SUSPICIOUS = 2.0
 
 
-class Caution(Struct, frozen=True, kw_only=True):
+class DecisionThresholds(Struct, frozen=True, kw_only=True):
     """How doubt about a version is resolved.
 
     :param alpha: probability of finding a good version bad, per move and
@@ -34,14 +34,18 @@
     """
 
     alpha: float
-    doubtful: float
-    calls_wanted: int
+    max_weight_at_deadline: float
+    min_calls: int
 
 
 #: Doubt by profile; the figures behind them are in docs/design/moves.md.
-CAUTIONS: Mapping[Profile, Caution] = {
-    Profile.ON_TIME: Caution(alpha=0.001, doubtful=7, calls_wanted=0),
-    Profile.CAUTIOUS: Caution(alpha=0.005, doubtful=4, calls_wanted=25),
+THRESHOLDS_BY_PROFILE: Mapping[Profile, DecisionThresholds] = {
+    Profile.ON_TIME: DecisionThresholds(
+        alpha=0.001, max_weight_at_deadline=7, min_calls=0
+    ),
+    Profile.CAUTIOUS: DecisionThresholds(
+        alpha=0.005, max_weight_at_deadline=4, min_calls=25
+    ),
 }
 
 
@@ -68,7 +72,7 @@
     sheds: bool
     refuses: bool
     worsened: bool
-    caution: Caution
+    caution: DecisionThresholds
 
     @property
     def zones(self) -> set[AvailabilityZone]:
--- a/libs/moves/tests/conftest.py
+++ b/libs/moves/tests/conftest.py
@@ -9,17 +9,17 @@
 from verbenamill_model.traffic import Member, Observation, Outcome, Upstream
 from verbenamill_model.typing import Profile, UpstreamState
 from verbenamill_moves import (
+    AppendVerdict,
     Decider,
-    Evidence,
+    EvidenceCollector,
     MoveState,
-    Publish,
-    Send,
-    Settle,
-    decider_of,
+    PublishState,
+    SendReport,
+    choose_decider,
     decode_move_states,
     encode_move_state,
     merge_states,
-    shares,
+    split_traffic,
 )
 
 START = datetime(2026, 12, 2, tzinfo=UTC)
@@ -56,7 +56,8 @@
                 self.add(f'{zone}-{version}', zone, version)
         self.deciders = {vm: self.decider(vm) for vm in self.members}
         self.evidence = {
-            vm: Evidence(incarnation=1, clock=self) for vm in self.members
+            vm: EvidenceCollector(incarnation=1, clock=self)
+            for vm in self.members
         }
         self.entry = None
         self.settled = []
@@ -101,7 +102,7 @@
         return Decider(vm=vm, availability_zone=zone)
 
     def share(self, zone):
-        split = shares(
+        split = split_traffic(
             self.service,
             self.state,
             availability_zone=zone,
@@ -159,7 +160,7 @@
             if body is None:
                 continue
             zone = self.members[vm].availability_zone
-            to = decider_of(self.move, zone, self.members)
+            to = choose_decider(self.move, zone, self.members)
             self.deciders[to].receive(vm, body)
 
     def act(self, vm, decider):
@@ -170,12 +171,12 @@
             now=self.now,
         )
         for action in actions:
-            if isinstance(action, Publish):
+            if isinstance(action, PublishState):
                 told = encode_move_state(action.state)
                 self.entry = merge_states(self.entry, told)
-            elif isinstance(action, Send):
-                self.deciders[action.to].receive(vm, action.body)
-            elif isinstance(action, Settle):
+            elif isinstance(action, SendReport):
+                self.deciders[action.recipient].receive(vm, action.body)
+            elif isinstance(action, AppendVerdict):
                 self.settled.append((self.second, action.record))
 
 
--- a/libs/moves/tests/test_choice.py
+++ b/libs/moves/tests/test_choice.py
@@ -2,7 +2,7 @@
 
 from verbenamill_model.traffic import Member, Upstream
 from verbenamill_model.typing import UpstreamState
-from verbenamill_moves import Send, reports_now
+from verbenamill_moves import SendReport, is_report_due
 from verbenamill_moves.choice import REPORTS_A_PERIOD
 
 
@@ -41,7 +41,7 @@
         senders = [
             vm
             for vm in owners
-            if reports_now(vm, 'az-1', owners, period=period)
+            if is_report_due(vm, 'az-1', owners, period=period)
         ]
         assert len(senders) <= REPORTS_A_PERIOD
         heard.extend(senders)
@@ -50,8 +50,8 @@
 
 def test_few_owners_report_in_each_period():
     owners = make_owners(6)
-    assert all(reports_now(vm, 'az-1', owners, period=3) for vm in owners)
-    assert not reports_now('vm-9', 'az-1', owners, period=3)
+    assert all(is_report_due(vm, 'az-1', owners, period=3) for vm in owners)
+    assert not is_report_due('vm-9', 'az-1', owners, period=3)
 
 
 def test_each_of_many_zones_hears_the_sums_in_turn(fleet):
@@ -67,7 +67,9 @@
     def spy(vm):
         def listen(**known):
             actions = step[vm](**known)
-            sent = [one.to for one in actions if isinstance(one, Send)]
+            sent = [
+                one.recipient for one in actions if isinstance(one, SendReport)
+            ]
             assert len(sent) <= 3
             heard.setdefault(vm, set()).update(to[0] for to in sent)
             return actions
--- a/libs/moves/tests/test_decider.py
+++ b/libs/moves/tests/test_decider.py
@@ -5,7 +5,7 @@
 
 from verbenamill_model.checks import MIN_MOVE
 from verbenamill_model.typing import Profile, VerdictKind
-from verbenamill_moves import MoveState, decider_of, encode_move_state
+from verbenamill_moves import MoveState, choose_decider, encode_move_state
 
 BOTH = pytest.mark.parametrize('profile', tuple(Profile))
 
@@ -171,7 +171,7 @@
     did meanwhile is still on its way, so nothing may grow before that.
     """
     moved = fleet()
-    chosen = decider_of(moved.move, 'a', moved.members)
+    chosen = choose_decider(moved.move, 'a', moved.members)
     moved.run(10)
     stage = moved.state.stages['a']
     moved.run(30, paused={chosen})
--- a/libs/moves/tests/test_evidence.py
+++ b/libs/moves/tests/test_evidence.py
@@ -5,12 +5,12 @@
 import pytest
 
 from verbenamill_model.traffic import Observation, Outcome
-from verbenamill_moves import Evidence
+from verbenamill_moves import EvidenceCollector
 from verbenamill_moves.evidence import (
     COLD_CALLS,
     MAX_ROUTES,
     OTHER_ROUTES,
-    read_report,
+    decode_report,
 )
 from verbenamill_moves.histogram import BUCKETS, bucket_of
 
@@ -45,11 +45,11 @@
 
 @pytest.fixture
 def evidence(clock):
-    return Evidence(incarnation=1, clock=clock)
+    return EvidenceCollector(incarnation=1, clock=clock)
 
 
 def routes_of(evidence):
-    return read_report(evidence.report()).versions[0].routes
+    return decode_report(evidence.report()).versions[0].routes
 
 
 def test_shed_and_cancelled_calls_are_no_failures(evidence):
@@ -90,7 +90,7 @@
         observe(evidence, 1, route=f'r{number}')
     for number in range(10):
         observe(evidence, 1, version=f'v{number}')
-    report = read_report(evidence.report())
+    report = decode_report(evidence.report())
     assert len(report.versions) <= 4
     assert bucket_of(timedelta(hours=1)) == BUCKETS - 1
 
--- a/libs/moves/tests/test_state.py
+++ b/libs/moves/tests/test_state.py
@@ -7,7 +7,12 @@
 
 from verbenamill_model import Move, Service, ServiceState
 from verbenamill_model.typing import Profile
-from verbenamill_moves import MoveState, encode_move_state, merge_states, shares
+from verbenamill_moves import (
+    MoveState,
+    encode_move_state,
+    merge_states,
+    split_traffic,
+)
 
 START = datetime(2026, 12, 2, tzinfo=UTC)
 MOVE = Move(
@@ -34,7 +39,7 @@
 
 
 def share_of_new(state, *, zone='a', now=START):
-    split = shares(SERVICE, state, availability_zone=zone, now=now)
+    split = split_traffic(SERVICE, state, availability_zone=zone, now=now)
     assert abs(sum(split.values()) - 1) < 1e-9
     return split.get('v2', 0)
 
