--- a/libs/sidecar/src/verbenamill_sidecar/announcements.py
+++ b/libs/sidecar/src/verbenamill_sidecar/announcements.py
@@ -1,4 +1,4 @@
-"""The port where the own upstream tells of itself."""
+"""The port on which the upstream beside this daemon announces itself."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -7,30 +7,33 @@
 
 from verbenamill_http.server import Request, Response
 from verbenamill_model.typing import UpstreamState
-from verbenamill_policy.heartbeats import HeartbeatResult, Heartbeat
-from verbenamill_sidecar.local_upstream import LocalUpstream
+from verbenamill_policy.heartbeats import Heartbeat, HeartbeatResult
+from verbenamill_sidecar.owner import OwnUpstream
 from verbenamill_sidecar.protocol import (
-    LeaveAnnouncement,
-    InvalidAnnouncement,
     AnnouncementParser,
+    InvalidAnnouncement,
+    LeaveAnnouncement,
 )
 from verbenamill_sidecar.responses import error_response
 from verbenamill_telemetry import Event, log
 
 
-#: Longest time for which the answer to a leaving upstream waits until the
-#: store has it, in seconds. Once the upstream has its answer, no start of
-#: this daemon may send it new work.
-REMEMBER_TIME = 0.4
+#: Longest time for which the answer to a leaving upstream is held back until
+#: the store holds its state, in seconds. Once the upstream has the answer, a
+#: restarted daemon must not send it new work.
+STORE_WRITE_TIMEOUT = 0.4
 
 
 class Announcements:
-    """Takes heartbeats; an answer of 200 binds this daemon.
+    """Handles heartbeats and leave messages of the upstream.
+
+    An answer of 200 commits this daemon to the announced state.
 
-    :param read: knows their form.
-    :param is_known: whether a service is one of the configuration's.
-    :param remember: puts what was told into the store, within a time.
-    :param has_met: set once another daemon has told what it remembers, or
+    :param parse: parses the announcements of the platform.
+    :param is_known: whether the configuration has the service of a heartbeat.
+    :param save: saves the announced state in the store, within a time limit in
+        seconds.
+    :param peer_state_received: set once another daemon has sent its state, or
         soon after the start.
     """
 
@@ -38,65 +41,68 @@
         self,
         own: LocalUpstream,
         *,
-        read: AnnouncementParser,
+        parse: AnnouncementParser,
         is_known: Callable[[Heartbeat], bool],
-        has_met: trio.Event,
-        remember: Callable[[float], Awaitable[bool]],
+        peer_state_received: trio.Event,
+        save: Callable[[float], Awaitable[bool]],
     ) -> None:
-        self._remember = remember
-        self._own = own
-        self._has_met = has_met
-        self._read = read
+        self._save = save
+        self._own_upstream = own
+        self._peer_state_received = peer_state_received
+        self._parse = parse
         self._is_known = is_known
 
     async def handle(self, request: Request) -> Response:
         """Answer one announcement."""
-        # The daemon before may have acknowledged a drain that only the others
-        # remember. A heartbeat from before it, believed now, would send
-        # callers to an upstream that is about to end.
-        await self._has_met.wait()
+        # The previous process may have acknowledged a drain that only other
+        # daemons know of. If a delayed heartbeat from before that drain were
+        # accepted now, callers would be sent to an upstream that is about to
+        # end.
+        await self._peer_state_received.wait()
         head = request.head
-        told = self._read(head.method, head.target, request.body)
-        match told:
+        announcement = self._parse(head.method, head.target, request.body)
+        match announcement:
             case InvalidAnnouncement():
-                log(Event.ANNOUNCEMENT_REFUSED, reason=told.reason)
-                return error_response(HTTPStatus.BAD_REQUEST, told.reason)
+                log(Event.ANNOUNCEMENT_REFUSED, reason=announcement.reason)
+                return refusal(HTTPStatus.BAD_REQUEST, announcement.reason)
             case LeaveAnnouncement():
-                known = self._own.handle_leave(told)
+                known = self._own_upstream.leave(announcement)
                 log(
                     Event.UPSTREAM_DEREGISTERED,
-                    instance=told.instance,
+                    instance=announcement.instance,
                     known=known,
                 )
-                await self._remember(REMEMBER_TIME)
+                await self._save(STORE_WRITE_TIMEOUT)
                 return _accepted()
             case Heartbeat():
-                response = self._take(told)
-                if told.state is not UpstreamState.READY:
-                    await self._remember(REMEMBER_TIME)
+                response = self._handle_heartbeat(announcement)
+                if announcement.state is not UpstreamState.READY:
+                    await self._save(STORE_WRITE_TIMEOUT)
                 return response
         raise AssertionError('an announcement is one of three')
 
-    def _take(self, beat: Heartbeat) -> Response:
-        if not self._is_known(beat):
-            reason = f'service {beat.service!r} is not known here'
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> Response:
+        if not self._is_known(heartbeat):
+            reason = f'service {heartbeat.service!r} is not known here'
             log(Event.ANNOUNCEMENT_REFUSED, reason=reason)
-            return error_response(HTTPStatus.BAD_REQUEST, reason)
-        belief = self._own.handle_heartbeat(beat)
-        if belief is not HeartbeatResult.UNCHANGED:
+            return refusal(HTTPStatus.BAD_REQUEST, reason)
+        result = self._own_upstream.take(heartbeat)
+        if result is not HeartbeatResult.UNCHANGED:
             log(
                 Event.UPSTREAM_HEARTBEAT,
-                instance=beat.instance,
-                service=beat.service,
-                version=beat.version,
-                state=beat.state.value,
-                sequence=beat.sequence,
-                born=beat.born,
-                belief=belief.value,
+                instance=heartbeat.instance,
+                service=heartbeat.service,
+                version=heartbeat.version,
+                state=heartbeat.state.value,
+                sequence=heartbeat.sequence,
+                born=heartbeat.born,
+                belief=result.value,
+            )
+        if result is HeartbeatResult.OTHER_ADDRESS:
+            reason = (
+                f'{heartbeat.address} is not the upstream beside this daemon'
             )
-        if belief is HeartbeatResult.OTHER_ADDRESS:
-            reason = f'{beat.address} is not the upstream beside this daemon'
-            return error_response(HTTPStatus.BAD_REQUEST, reason)
+            return refusal(HTTPStatus.BAD_REQUEST, reason)
         return _accepted()
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -1,4 +1,4 @@
-"""Joins the parts into the one process beside an upstream."""
+"""Assembles the daemon beside an upstream, and starts and stops its parts."""
 
 import socket
 from collections.abc import Callable
@@ -20,63 +20,67 @@
     UpstreamRecord,
 )
 from verbenamill_policy.quarantine import Quarantine
-
 from verbenamill_sidecar.announcements import Announcements
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.distribution import DistributionTree
-from verbenamill_sidecar.store_follower import Follower
 from verbenamill_sidecar.gossip import Gossip
 from verbenamill_sidecar.health import Health
 from verbenamill_sidecar.ingress import Ingress
 from verbenamill_sidecar.ingress_context import IngressContext
-from verbenamill_sidecar.desired_state import DesiredState
-from verbenamill_sidecar.rollout_controller import Moving
-from verbenamill_sidecar.local_upstream import (
-    LocalUpstream,
-    LocalUpstreamContext,
-)
-from verbenamill_sidecar.peer_requests import PeerRequestHandler
+from verbenamill_sidecar.owner import OwnerContext, OwnUpstream
+from verbenamill_sidecar.passed_on import PassedOn
 from verbenamill_sidecar.peers import Peers
 from verbenamill_sidecar.protocol import (
-    HeaderNames,
     AnnouncementParser,
+    HeaderNames,
     Store,
 )
 from verbenamill_sidecar.registration import Registrar
+from verbenamill_sidecar.rollout_controller import RolloutController
 from verbenamill_sidecar.settings import Settings
 from verbenamill_sidecar.stats import CallStats
+from verbenamill_sidecar.store_follower import Follower
 from verbenamill_sidecar.suspects import SuspectGate
 from verbenamill_telemetry import Event, log
 
-#: Time in which callers and daemons hear that this one leaves, in seconds:
-#: callers are told by two questions a second apart.
-_LEAVE_TIME = 2.6
-#: Kept of the grace time for the end of the process, in seconds.
-_END_TIME = 0.5
-#: Part of it in which answers go out to callers whose requests are given up.
-_LAST_ANSWERS = 0.2
-#: Time for the store to hear that this daemon leaves, in seconds.
-_FAREWELL = 0.4
-_SWEEP = 1.0
-#: How long the daemons of a fleet that starts for the first time take to find
-#: each other, and how long those wait that do not read the store, in seconds.
-_FIRST_WAIT = 2.0
-_FIRST_PATIENCE = 4.0
-#: Tries to open a port that a process before may still hold, and pause.
+#: Time for which a stopping daemon goes on serving until callers and other
+#: daemons know that it is leaving, in seconds. Callers learn it from two health
+#: checks that are a second apart.
+_LEAVING_SERVE_TIME = 2.6
+#: Part of the grace time that is reserved for the end of the process, in
+#: seconds.
+_EXIT_RESERVE = 0.5
+#: Part of this reserve in which callers whose requests were given up get their
+#: answers, in seconds.
+_FINAL_ANSWERS_TIME = 0.2
+#: Longest time for saving in the store that this daemon leaves, in seconds.
+_LEAVING_SAVE_TIMEOUT = 0.4
+#: Interval between removals of expired state, in seconds.
+_SWEEP_PERIOD = 1.0
+#: Time that the daemons of a fleet need to find each other at its first start,
+#: in seconds.
+_FIRST_START_PEER_WAIT = 2.0
+#: Time for which a daemon that is no reader waits for a first notice then, in
+#: seconds.
+_FIRST_START_NOTICE_WAIT = 4.0
+#: Attempts to open a port that the previous process may still hold.
 _BIND_TRIES = 40
+#: Pause between these attempts, in seconds.
 _BIND_PAUSE = 0.05
-#: Longest head between daemons: a caller's head and ours.
-_HOP_HEAD = 128 * 1024
-#: Longest further wait of a daemon, as a share of a block's time, until it lets
-#: a blocked request run once more. Each daemon draws its own.
-_PATIENCE = 0.5
-#: Limits before any configuration is known.
-_DEFAULTS = ServerLimits()
+#: Longest head of a request between daemons: the head of the caller's request
+#: and the headers that daemons add.
+_MAX_HOP_HEAD_BYTES = 128 * 1024
+#: Longest random delay before a daemon lets a blocked request run once more,
+#: as a share of the duration of the block. Each daemon draws its own.
+_MAX_BLOCK_JITTER = 0.5
+#: Limits until a configuration is known.
+_DEFAULT_LIMITS = ServerLimits()
 
 
 class DaemonContext(Struct, frozen=True, kw_only=True):
-    """What a daemon needs of its surroundings.
+    """Dependencies of a daemon.
 
-    :param now: wall time, for the incarnation only.
+    :param now: returns the wall-clock time.
     """
 
     settings: Settings
@@ -99,20 +103,22 @@
         self._desired_state = DesiredState()
         self._stats = CallStats()
         self._gate = SuspectGate(
-            Quarantine(block_jitter=_PATIENCE * context.random.random()),
+            Quarantine(
+                block_jitter=_MAX_BLOCK_JITTER * context.random.random()
+            ),
             wall=lambda: context.now().timestamp(),
         )
         self._own_upstream = LocalUpstream(
             LocalUpstreamContext(
                 names=context.names,
                 address=settings.upstream_address,
-                on_change=self._tell_upstream,
-                allows_version_of=self._allows,
+                changed=self._publish_upstream,
+                allows=self._allows,
                 gate=self._gate,
                 wall_ms=lambda: int(context.now().timestamp() * 1000),
             ),
         )
-        self._moving = Moving(
+        self._rollout_controller = RolloutController(
             own_vm=settings.vm.id,
             own=self._own_upstream,
             store=context.store,
@@ -129,33 +135,33 @@
             notify=lambda kind: self._gossip.notify(kind),
         )
         self._gossip = Gossip(
-            own=self._own_record(),
+            own=self._make_own_record(),
             table=self._table,
             peers=self._peers,
             desired_state=self._desired_state,
             random=context.random,
-            recall=self._own_upstream.restore,
+            restore_upstream=self._own_upstream.recall,
             follower=self._follower,
             tree=self._tree,
-            counted=self._moving.take_tally,
+            on_tally=self._rollout_controller.record_tally,
             gate=self._gate,
         )
-        self._gate.publish = self._gossip.tell_suspect
+        self._gate.publish = self._gossip.publish_suspect
         self._registrar = Registrar(
             context.store,
             self._gossip,
             self._tree,
             self._table,
             context.random,
-            is_lost=lambda: self._follower.is_store_lost,
-            found_nobody=self._follower.begin,
+            is_store_lost=lambda: self._follower.is_store_lost,
+            on_no_members=self._follower.start_reading,
             quarantine=self._gate.quarantine,
         )
         self._is_stopping = False
         self._servers = self._make_servers()
 
     async def run(self, stopping: trio.Event) -> None:
-        """Serve until told to stop, then stop without cutting a request."""
+        """Serve until told to stop, then stop without aborting a request."""
         settings = self._context.settings
         listeners = await self._open()
         async with trio.open_nursery() as nursery:
@@ -168,7 +174,7 @@
                 nursery.start_soon(server.serve, listener)
             nursery.start_soon(self._follow)
             nursery.start_soon(self._register)
-            nursery.start_soon(self._moving.run, self._gossip)
+            nursery.start_soon(self._rollout_controller.run, self._gossip)
             nursery.start_soon(self._sweep)
             log(
                 Event.STARTED,
@@ -191,20 +197,22 @@
         if not self._context.settings.start.first:
             await self._follower.run()
             return
-        # Nobody calls yet, and nobody has anything to tell.
-        self._tree.await_notice(_FIRST_PATIENCE)
-        await self._follower.run(patience=_FIRST_WAIT)
+        # At the first start there are no callers yet, and no daemon has any
+        # state to send.
+        self._tree.await_notice(_FIRST_START_NOTICE_WAIT)
+        await self._follower.run(patience=_FIRST_START_PEER_WAIT)
 
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers may send requests to this daemon."""
         return not self._is_stopping and self._desired_state.table is not None
 
-    def _own_record(self) -> MemberRecord:
+    def _make_own_record(self) -> MemberRecord:
         settings = self._context.settings
         return MemberRecord(
             vm=settings.vm.id,
-            # A restarted daemon has to win over what the others remember.
-            # It keeps nothing, so its incarnation is its time of start.
+            # The record after a restart must win over the one that other
+            # daemons hold. No state survives a restart, so the incarnation is
+            # the time of the start.
             incarnation=int(self._context.now().timestamp() * 1000),
             sequence=0,
             availability_zone=settings.vm.availability_zone,
@@ -233,29 +241,29 @@
         peer_requests = PeerRequestHandler(
             self._own_upstream,
             context.names,
-            lambda: self._desired_state.known,
+            lambda: self._desired_state.snapshot,
         )
         announcements = Announcements(
             self._own_upstream,
-            read=context.read_announcement,
+            parse=context.read_announcement,
             is_known=self._is_known,
-            has_met=self._gossip.has_met,
-            remember=self._registrar.flush,
+            peer_state_received=self._gossip.peer_state_received,
+            save=self._registrar.flush,
         )
         health = Health(is_ready=self.is_ready, render=self._render_metrics)
-        self._callers = HttpServer(
+        self._caller_server = HttpServer(
             ingress.handle,
             limits=self._caller_limits,
-            on_error=_tell_fault,
+            on_error=_log_fault,
         )
-        self._daemons = HttpServer(
-            peer_requests.handle,
+        self._daemon_server = HttpServer(
+            passed_on.handle,
             limits=self._daemon_limits,
-            on_error=_tell_fault,
+            on_error=_log_fault,
         )
         return (
-            self._callers,
-            self._daemons,
+            self._caller_server,
+            self._daemon_server,
             _make_local_server(announcements.handle),
             _make_local_server(health.handle),
         )
@@ -263,7 +271,7 @@
     def _caller_limits(self) -> ServerLimits:
         table = self._desired_state.table
         if table is None:
-            return _DEFAULTS
+            return _DEFAULT_LIMITS
         limits = table.configuration.limits
         return ServerLimits(
             max_head=limits.max_header,
@@ -273,10 +281,10 @@
         )
 
     def _daemon_limits(self) -> ServerLimits:
-        # Idle connections are closed by the daemon that opened them, so
-        # that a request never meets a connection that is being closed.
+        # The daemon that opened a connection closes it when idle. This side
+        # waits longer, so that no request meets a connection being closed.
         return ServerLimits(
-            max_head=_HOP_HEAD,
+            max_head=_MAX_HOP_HEAD_BYTES,
             max_body=self._caller_limits().max_body,
             idle_timeout=600,
         )
@@ -304,83 +312,91 @@
 
     async def _sweep(self) -> None:
         while True:
-            await trio.sleep(_SWEEP)
+            await trio.sleep(_SWEEP_PERIOD)
             self._peers.sweep()
             self._own_upstream.sweep()
             self._gate.sweep()
 
     async def _stop(self) -> None:
         grace = self._context.settings.stop.grace / 1000
-        end = trio.current_time() + grace - _END_TIME
+        end = trio.current_time() + grace - _EXIT_RESERVE
         self._is_stopping = True
         self._own_upstream.stop()
-        self._gossip.update(upstream=self._upstream_told(), leaving=True)
+        self._gossip.update_own(upstream=self._current_upstream(), leaving=True)
         for server in self._servers:
             server.is_stopping = True
-        # Callers are sent elsewhere once two questions for health have
-        # failed; until then they are served.
-        await trio.sleep(_LEAVE_TIME)
+        # Callers are sent elsewhere once two health checks have failed. Until
+        # then this daemon serves them.
+        await trio.sleep(_LEAVING_SERVE_TIME)
         with trio.CancelScope(deadline=end):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._registrar.take_leave, _FAREWELL)
+                nursery.start_soon(
+                    self._registrar.save_before_exit, _LEAVING_SAVE_TIMEOUT
+                )
                 nursery.start_soon(self._finish_callers)
-                # The owner refuses all by now, in words that a daemon knows.
-                await self._daemons.shut_down(reject_late=False)
-        if self._own_upstream.in_flight:
-            self._own_upstream.cancel_running()
-            await trio.sleep(_LAST_ANSWERS)
+                # The owner refuses every request by now, with an outcome that
+                # other daemons understand.
+                await self._daemon_server.shut_down(reject_late=False)
+        if self._own_upstream.in_hand:
+            self._own_upstream.give_up()
+            await trio.sleep(_FINAL_ANSWERS_TIME)
 
     async def _finish_callers(self) -> None:
-        """Serve to its end what is in hand, with the calls that it makes."""
-        await self._callers.shut_down(
+        """Finish the running requests and the nested calls that they make."""
+        await self._caller_server.shut_down(
             admit_late=self._is_nested,
             keep_accepting=lambda: self._own_upstream.in_flight > 0,
         )
 
     def _is_nested(self, head: RequestHead) -> bool:
-        """Whether a request is a call of one that the own upstream runs."""
+        """Whether a request is made by one that the local upstream runs."""
         id = get_header(head.headers, self._context.names.request_id)
         return id is not None and self._own_upstream.find_parent(id) is not None
 
-    def _tell_upstream(self) -> None:
-        self._gossip.update(
-            upstream=self._upstream_told(),
+    def _publish_upstream(self) -> None:
+        self._gossip.update_own(
+            upstream=self._current_upstream(),
             leaving=self._is_stopping,
         )
-        upstream = self._upstream_told()
+        upstream = self._current_upstream()
         if upstream is not None and upstream.has_left:
-            self._registrar.request()
+            self._registrar.request_write()
 
-    def _upstream_told(self) -> UpstreamRecord | None:
+    def _current_upstream(self) -> UpstreamRecord | None:
         return self._own_upstream.register.current
 
     def _allows(self, upstream: UpstreamRecord) -> bool:
         shares = self._desired_state.shares(upstream.service)
         return shares.allows(upstream.version)
 
-    def _is_known(self, beat: Heartbeat) -> bool:
-        """Whether a heartbeat names a service that there is.
+    def _is_known(self, heartbeat: Heartbeat) -> bool:
+        """Whether the service of a heartbeat is configured.
 
-        Before any configuration is known, the one of the settings.
+        The service that the settings name is always accepted, also before any
+        configuration is known.
         """
         table = self._desired_state.table
-        if beat.service == self._context.settings.vm.service:
+        if heartbeat.service == self._context.settings.vm.service:
             return True
         return table is not None and (
-            beat.service in table.configuration.services
+            heartbeat.service in table.configuration.services
         )
 
     def _render_metrics(self) -> bytes:
-        # The library takes more memory than all metrics of this daemon, so
-        # it is loaded when somebody asks for them.
+        # The metrics library takes more memory than all metrics of the daemon,
+        # so it is imported only when metrics are requested.
         from verbenamill_sidecar.metrics import (  # noqa: PLC0415
-            Control,
+            CoordinationCounters,
             Gauges,
-            render,
+            render_metrics,
         )
 
-        control = Control(self._context.store.calls, self._gossip.traffic)
-        return render(self._stats, Gauges(self._read_gauges), control)
+        coordination = CoordinationCounters(
+            self._context.store.calls, self._gossip.traffic
+        )
+        return render_metrics(
+            self._stats, Gauges(self._read_gauges), coordination
+        )
 
     def _read_gauges(self) -> dict[str, tuple[str, float]]:
         from verbenamill_sidecar.metrics import age_of  # noqa: PLC0415
@@ -394,10 +410,13 @@
             ),
             'store_read_age_seconds': (
                 'Time since the last answer to a read of the store.',
-                age_of(self._follower.read_at),
+                age_of(self._follower.last_read_at),
             ),
             'members': ('Daemons known.', len(self._table)),
-            'moves': ('Running moves.', len(self._desired_state.running())),
+            'moves': (
+                'Running moves.',
+                len(self._desired_state.running_orders()),
+            ),
             'upstream_ready': ('Whether the upstream takes work.', is_up),
             'upstream_running': ('Requests at it.', self._own_upstream.running),
             'upstream_waiting': (
@@ -445,12 +464,12 @@
 def _make_local_server(handler: Handler) -> HttpServer:
     return HttpServer(
         handler,
-        limits=lambda: _DEFAULTS,
-        on_error=_tell_fault,
+        limits=lambda: _DEFAULT_LIMITS,
+        on_error=_log_fault,
     )
 
 
-def _tell_fault(error: BaseException) -> None:
+def _log_fault(error: BaseException) -> None:
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     log(Event.INVARIANT_BROKEN, detail=repr(error))
--- a/libs/sidecar/src/verbenamill_sidecar/datagrams.py
+++ b/libs/sidecar/src/verbenamill_sidecar/datagrams.py
@@ -1,4 +1,7 @@
-"""Messages that daemons exchange in datagrams."""
+"""Messages that daemons exchange in datagrams.
+
+The names of the message classes are also labels of metrics.
+"""
 
 from enum import IntEnum, unique
 
@@ -13,7 +16,7 @@
 
 
 class Rumors(Struct, tag='r', array_like=True):
-    """News: records of members, stages and verdicts of moves, suspects."""
+    """Updated member records, progress and verdicts of moves, and suspects."""
 
     members: list[MemberRecord] = []
     progress: list[Progress] = []
@@ -22,13 +25,13 @@
 
 
 class Summary(Struct, tag='s', array_like=True):
-    """Digests of all that the sender knows.
+    """Digests of the whole state of the sender.
 
     :param zones: digest of each zone's members.
-    :param moves: digest of the stages and verdicts of moves.
-    :param stamp: versions of the configuration and of the newest order.
-    :param is_reply: whether it answers one of the receiver's.
-    :param blocked: digest of the requests that are blocked.
+    :param moves: digest of the progress and verdicts of moves.
+    :param stamp: version of the configuration and number of the newest order.
+    :param is_reply: whether this answers a summary of the receiver.
+    :param blocked: digest of the blocked requests.
     """
 
     sender: VmId
@@ -40,15 +43,15 @@
 
 
 class Digests(Struct, tag='d', array_like=True):
-    """Digests of the parts of one zone that seems to differ."""
+    """Bucket digests of one zone whose digests differ."""
 
     sender: VmId
     zone: AvailabilityZone
     buckets: list[int]
 
 
-class Age(Struct, array_like=True):
-    """Which record of a member the sender has."""
+class RecordRevision(Struct, array_like=True):
+    """The revision of a member's record that the sender holds."""
 
     vm: VmId
     incarnation: int
@@ -56,16 +59,16 @@
 
 
 class Ages(Struct, tag='v', array_like=True):
-    """Ages of all records that the sender has in some parts of a zone."""
+    """Revisions of all records that the sender holds in some buckets."""
 
     sender: VmId
     zone: AvailabilityZone
     buckets: list[int]
-    known: list[Age]
+    known: list[RecordRevision]
 
 
 class Wanted(Struct, tag='w', array_like=True):
-    """Asks for the records of some members."""
+    """Requests the records of some members."""
 
     sender: VmId
     vms: list[VmId]
@@ -80,22 +83,22 @@
 
 @unique
 class NoticeKind(IntEnum):
-    """What a daemon tells about its knowledge of the store.
+    """What a daemon reports about its view of the store.
 
     ``CURRENT``: the sender is up to date, and the receiver need not read.
-    ``STALLED``: the sender reads, and the store does not answer it.
-    ``NEWS``: the sender of another zone has just become newer.
+    ``STALLED``: the sender reads the store but gets no answer.
+    ``CHANGED``: the sender, in another zone, has just applied a change.
     """
 
     CURRENT = 0
     STALLED = 1
-    NEWS = 2
+    CHANGED = 2
 
 
 class Notice(Struct, tag='n', array_like=True):
-    """Tells what the sender knows of the store's content.
+    """Reports the sender's view of the store.
 
-    :param stamp: versions of the configuration and of the newest order.
+    :param stamp: version of the configuration and number of the newest order.
     """
 
     sender: VmId
@@ -104,19 +107,19 @@
 
 
 class Ask(Struct, tag='a', array_like=True):
-    """Asks for a sign of life."""
+    """Probes whether the receiver is alive."""
 
     sender: VmId
 
 
 class Alive(Struct, tag='l', array_like=True):
-    """A sign of life."""
+    """Answers a probe."""
 
     sender: VmId
 
 
 class Tallies(Struct, tag='t', array_like=True):
-    """Counts of an owner, for the decider of a move."""
+    """Tallies of owners, for the decider of a move."""
 
     tallies: list[Tally]
 
@@ -141,7 +144,7 @@
 def decode_message(data: bytes) -> Message:
     """Decode a datagram.
 
-    :raises msgspec.MsgspecError: if it is none of ours.
+    :raises msgspec.MsgspecError: if it is not a valid message.
     """
     return _decoder.decode(data)
 
--- a/libs/sidecar/src/verbenamill_sidecar/desired_state.py
+++ b/libs/sidecar/src/verbenamill_sidecar/desired_state.py
@@ -1,4 +1,4 @@
-"""What this daemon knows of the operators' wishes."""
+"""The state that operators have published, as far as this daemon knows it."""
 
 import zlib
 from collections.abc import Iterable
@@ -22,17 +22,16 @@
 from verbenamill_telemetry import Event, log
 
 
-#: What the store has told, in short: version of the configuration and number
-#: of the newest order.
-Stamp = tuple[int, int]
+#: Version of the configuration and number of the newest order.
+VersionStamp = tuple[int, int]
 
 
 class StateSnapshot(Struct, kw_only=True):
-    """All of it, as one daemon gives it to another.
+    """The whole desired state, as one daemon sends it to another.
 
-    :param settled: what operators were told last of each service.
-    :param verdicts: those on versions of earlier moves as well.
-    :param has_verdicts: whether the store's verdicts are among them.
+    :param settled: what operators were last told about each service.
+    :param verdicts: the verdicts, including those on earlier moves.
+    :param has_verdicts: whether the verdicts of the store are included.
     """
 
     configuration: Configuration | None = None
@@ -46,17 +45,17 @@
 _decoder = msgspec.msgpack.Decoder(StateSnapshot)
 
 
-def encode_snapshot(known: StateSnapshot) -> bytes:
-    """Encode it for another daemon.
+def encode_snapshot(snapshot: StateSnapshot) -> bytes:
+    """Encode a snapshot for another daemon.
 
-    Routes resemble each other, so a fast compression saves five sixths of
-    the bytes; a thin link is busy for that much less.
+    Routes resemble each other, so a fast compression saves five sixths of the
+    bytes and shortens the load on a slow link accordingly.
     """
-    return zlib.compress(msgspec.msgpack.encode(known), level=1)
+    return zlib.compress(msgspec.msgpack.encode(snapshot), level=1)
 
 
 def decode_snapshot(body: bytes) -> StateSnapshot | None:
-    """Decode what another daemon gave; ``None`` if it cannot be read."""
+    """Decode a snapshot of another daemon; ``None`` if it is malformed."""
     try:
         return _decoder.decode(zlib.decompress(body))
     except (msgspec.MsgspecError, zlib.error):
@@ -64,17 +63,17 @@
 
 
 class DesiredState:
-    """Merges what comes from the store and from other daemons.
+    """Merges what the store and other daemons report.
 
-    Everything only grows: versions of the configuration, numbers of orders,
-    stages. So it does not matter in which order things come, how often, or
-    from whom; nothing goes back.
+    All parts only grow: configuration versions, order numbers and stages. The
+    result therefore does not depend on the order, number or source of updates,
+    and no update reverts a newer one.
 
-    :ivar changes: counts the changes of orders and their progress.
+    :ivar changes: counts the changes of orders, progress and verdicts.
     """
 
     def __init__(self) -> None:
-        self._known = StateSnapshot()
+        self._snapshot = StateSnapshot()
         self._table: RouteTable | None = None
         self._shares: dict[ServiceName, Shares] = {}
         self._verdicts: dict[ServiceName, Verdicts] = {}
@@ -82,70 +81,70 @@
 
     @property
     def has_verdicts(self) -> bool:
-        """Whether all verdicts that the store had are known."""
-        return self._known.has_verdicts
+        """Whether all verdicts that the store held are known."""
+        return self._snapshot.has_verdicts
 
     @property
     def table(self) -> RouteTable | None:
-        """Routes in force."""
+        """The routes in force; ``None`` before any configuration."""
         return self._table
 
     @property
     def version(self) -> int:
-        """Version of the configuration; -1 before any."""
-        configuration = self._known.configuration
+        """Version of the configuration in force; -1 before any."""
+        configuration = self._snapshot.configuration
         return -1 if configuration is None else configuration.version
 
     @property
     def newest_order(self) -> int:
         """Number of the newest order; -1 before any."""
         return max(
-            (order.id for order in self._known.orders.values()), default=-1
+            (order.id for order in self._snapshot.orders.values()), default=-1
         )
 
     @property
-    def stamp(self) -> Stamp:
-        """What the store has told, in short; it only grows."""
+    def stamp(self) -> VersionStamp:
+        """Version stamp of this state; it only grows."""
         return self.version, self.newest_order
 
-    def lacks(self, stamp: Stamp) -> bool:
-        """Whether another daemon knows something that this one does not."""
+    def is_older_than(self, stamp: VersionStamp) -> bool:
+        """Whether a state with this stamp contains anything newer."""
         return stamp[0] > self.version or stamp[1] > self.newest_order
 
     @property
-    def known(self) -> StateSnapshot:
-        """All of it."""
-        self._known.verdicts = [
+    def snapshot(self) -> StateSnapshot:
+        """The whole state, to be sent to another daemon."""
+        self._snapshot.verdicts = [
             settled
             for verdicts in self._verdicts.values()
             for settled in verdicts.known
         ]
-        return self._known
+        return self._snapshot
 
     def shares(self, service: ServiceName) -> Shares:
-        """How a service's requests are split between versions."""
+        """The split of a service's requests between its versions."""
         found = self._shares.get(service)
         if found is None:
             found = find_shares(
-                self._known.orders.get(service),
-                self._known.settled.get(service),
-                self._known.progress.get(service),
-                taken_back=self._verdicts_of(service).taken_back,
+                self._snapshot.orders.get(service),
+                self._snapshot.settled.get(service),
+                self._snapshot.progress.get(service),
+                taken_back=self._verdicts_on(service).taken_back,
             )
             self._shares[service] = found
         return found
 
-    def running(self) -> list[Order]:
-        """Orders that no verdict is known of."""
+    def running_orders(self) -> list[Order]:
+        """Orders without a known verdict."""
         return [
             order
-            for service, order in self._known.orders.items()
+            for service, order in self._snapshot.orders.items()
             if not self._is_settled(service, order)
         ]
 
     def progress_of(self, order: Order) -> Progress:
-        """How far an order is."""
-        known = self._known.progress.get(order.service)
+        """The progress of an order."""
+        known = self._snapshot.progress.get(order.service)
         if known is None or known.order != order.id:
             return Progress(service=order.service, order=order.id)
         return known
@@ -155,11 +154,11 @@
         configuration: Configuration,
         source: str,
     ) -> bool:
-        """Run a configuration, unless a newer one is in force."""
+        """Apply a configuration, unless it is no newer than the current one."""
         if configuration.version <= self.version:
             return False
         before = self.version
-        self._known.configuration = configuration
+        self._snapshot.configuration = configuration
         self._table = RouteTable(configuration)
         log(
             Event.CONFIGURATION_APPLIED,
@@ -170,13 +169,13 @@
         )
         return True
 
-    def take_order(self, order: Order) -> bool:
-        """Take in an order, unless a later one is known."""
-        known = self._known.orders.get(order.service)
+    def apply_order(self, order: Order) -> bool:
+        """Apply an order, unless this or a later one is known."""
+        known = self._snapshot.orders.get(order.service)
         if known is not None and known.id >= order.id:
             return False
-        self._known.orders[order.service] = order
-        self._change(order.service)
+        self._snapshot.orders[order.service] = order
+        self._invalidate_shares(order.service)
         log(
             Event.MOVE_ORDERED,
             service=order.service,
@@ -186,21 +185,21 @@
         )
         return True
 
-    def take_settlements(self, settled: Iterable[SettledOrder]) -> None:
-        """Take in all verdicts of the store."""
-        for one in settled:
-            self.take_settled(one)
-        self._known.has_verdicts = True
-
-    def take_settled(self, settled: SettledOrder) -> bool:
-        """Take in a verdict, unless one of a later order is known."""
-        if self._verdicts_of(settled.service).add(settled):
-            self._change(settled.service)
-        known = self._known.settled.get(settled.service)
-        if known is not None and _rank(known) >= _rank(settled):
+    def apply_stored_verdicts(self, settled: Iterable[SettledOrder]) -> None:
+        """Apply all verdicts that the store holds."""
+        for verdict in settled:
+            self.apply_verdict(verdict)
+        self._snapshot.has_verdicts = True
+
+    def apply_verdict(self, settled: SettledOrder) -> bool:
+        """Apply a verdict, unless this or a later one is known."""
+        if self._verdicts_on(settled.service).add(settled):
+            self._invalidate_shares(settled.service)
+        known = self._snapshot.settled.get(settled.service)
+        if known is not None and _order_key(known) >= _order_key(settled):
             return False
-        self._known.settled[settled.service] = settled
-        self._change(settled.service)
+        self._snapshot.settled[settled.service] = settled
+        self._invalidate_shares(settled.service)
         if settled.verdict is not Verdict.RUNNING:
             log(
                 Event.MOVE_SETTLED,
@@ -210,16 +209,16 @@
             )
         return True
 
-    def take_progress(self, progress: Progress) -> bool:
-        """Take in how far a move is; tells whether it was news."""
-        known = self._known.progress.get(progress.service)
+    def apply_progress(self, progress: Progress) -> bool:
+        """Merge the progress of a move; returns whether it changed."""
+        known = self._snapshot.progress.get(progress.service)
         merged = progress
         if known is not None:
             merged = merge_progress(known, progress)
             if _is_same(known, merged):
                 return False
-        self._known.progress[progress.service] = merged
-        self._change(progress.service)
+        self._snapshot.progress[progress.service] = merged
+        self._invalidate_shares(progress.service)
         log(
             Event.MOVE_STAGE,
             move=merged.order,
@@ -228,47 +227,47 @@
         )
         return True
 
-    def take_all(self, other: StateSnapshot, source: str) -> None:
-        """Take in all that another daemon knows."""
+    def apply_snapshot(self, other: StateSnapshot, source: str) -> None:
+        """Merge the snapshot of another daemon."""
         if other.configuration is not None:
             self.apply_configuration(other.configuration, source)
-        # Verdicts first: an order without its verdict seems to run still.
+        # Verdicts come first: an order without its verdict appears to run.
         for verdict in other.verdicts:
-            self.take_settled(verdict)
+            self.apply_verdict(verdict)
         for settled in other.settled.values():
-            self.take_settled(settled)
-        self._known.has_verdicts |= other.has_verdicts
+            self.apply_verdict(settled)
+        self._snapshot.has_verdicts |= other.has_verdicts
         for order in other.orders.values():
-            self.take_order(order)
+            self.apply_order(order)
         for progress in other.progress.values():
-            self.take_progress(progress)
+            self.apply_progress(progress)
 
-    def is_past(self, version: VersionName, service: ServiceName) -> bool:
-        """Whether a version gets no requests any more."""
+    def is_retired(self, version: VersionName, service: ServiceName) -> bool:
+        """Whether a version no longer gets requests."""
         return not self.shares(service).allows(version)
 
-    def _verdicts_of(self, service: ServiceName) -> Verdicts:
+    def _verdicts_on(self, service: ServiceName) -> Verdicts:
         return self._verdicts.setdefault(service, Verdicts())
 
     def _is_settled(self, service: ServiceName, order: Order) -> bool:
-        settled = self._known.settled.get(service)
+        settled = self._snapshot.settled.get(service)
         return (
             settled is not None
             and settled.order >= order.id
             and settled.verdict is not Verdict.RUNNING
         )
 
-    def _change(self, service: ServiceName) -> None:
+    def _invalidate_shares(self, service: ServiceName) -> None:
         self._shares.pop(service, None)
         self.changes += 1
 
 
-def _rank(settled: SettledOrder) -> tuple[int, bool]:
+def _order_key(settled: SettledOrder) -> tuple[int, bool]:
     return settled.order, settled.verdict is not Verdict.RUNNING
 
 
 def _is_same(one: Progress, other: Progress) -> bool:
-    """Whether two agree but for the age, which grows by itself."""
+    """Whether two are equal apart from the age, which grows with time."""
     return (
         one.order == other.order
         and min(one.stage, LAST_STAGE) == min(other.stage, LAST_STAGE)
--- a/libs/sidecar/src/verbenamill_sidecar/dissemination.py
+++ b/libs/sidecar/src/verbenamill_sidecar/dissemination.py
@@ -1,4 +1,4 @@
-"""Spreads news: of daemons, of moves, and of requests that are suspected."""
+"""Spreads updates of members, moves and suspected requests as rumors."""
 
 from collections.abc import Callable, Iterable
 
@@ -23,27 +23,31 @@
 from verbenamill_sidecar.suspects import SuspectGate
 from verbenamill_telemetry import Event, log
 
-#: Pieces of news that a daemon passes on in one round; bounds its bytes a
-#: second however much changes. The rest waits for the next round.
-ROUND_LIMIT = 18
-#: Records in one datagram; keeps it below the usual 1,400 bytes.
-RECORDS = 6
-#: The same for suspects: a caller that crashes many upstreams leaves room for
-#: all other news. And suspects in one datagram.
-SUSPECTS_ROUND_LIMIT = 6
-SUSPECTS = 3
-#: Daemons that remind one that has started again, on average.
-_REMINDERS = 3
+#: Rumors that a daemon passes on in one round. The limit bounds its bytes per
+#: second however much changes; further rumors wait for the next round.
+RUMORS_PER_ROUND = 18
+#: Member records in one datagram; keeps it below the usual 1,400 bytes.
+RECORDS_PER_DATAGRAM = 6
+#: Suspects that a daemon passes on in one round. The separate limit leaves
+#: room for all other rumors if a caller crashes many upstreams.
+SUSPECTS_PER_ROUND = 6
+#: Suspects in one datagram; keeps it below the usual 1,400 bytes.
+SUSPECTS_PER_DATAGRAM = 3
+#: Mean number of daemons that send its previous record to a restarted daemon.
+_MEAN_REMINDERS = 3
+
+#: Sends a message to a daemon, without a guarantee of delivery.
 
 #: Sends a message to a daemon; it may get lost.
 Send = Callable[[MemberRecord, Message], None]
 
 
 class Dissemination:
-    """Keeps the own record and passes news on.
+    """Maintains this daemon's record and passes rumors on.
 
-    :param recall: told what others remember of the own upstream.
-    :param gate: knows the requests under which upstreams crashed.
+    :param restore_upstream: called with the record of this daemon's upstream
+        that other daemons still hold from before a restart.
+    :param gate: holds the requests that are suspected of crashing upstreams.
     """
 
     def __init__(
@@ -54,7 +58,7 @@
         neighbours: Neighbours,
         desired_state: DesiredState,
         send: Send,
-        recall: Callable[[UpstreamRecord], None],
+        restore_upstream: Callable[[UpstreamRecord], None],
         gate: SuspectGate,
     ) -> None:
         self._gate = gate
@@ -63,157 +67,162 @@
         self._neighbours = neighbours
         self._desired_state = desired_state
         self._send = send
-        self._recall = recall
-        self._hot = ActiveRumors()
-        self._hot_suspects = ActiveRumors()
-        self._exports: dict[RumorKey, None] = {}
+        self._restore_upstream = restore_upstream
+        self._active_rumors = ActiveRumors()
+        self._active_suspects = ActiveRumors()
+        self._cross_zone_queue: dict[RumorKey, None] = {}
         table.merge(own)
 
     @property
     def own(self) -> MemberRecord:
-        """What this daemon tells of itself."""
+        """The current record of this daemon."""
         return self._own
 
-    def update(
+    def update_own(
         self,
         *,
         upstream: UpstreamRecord | None,
         leaving: bool = False,
     ) -> None:
-        """Tell something new of this daemon, at once."""
+        """Publish a changed record of this daemon at once."""
         own = self._own
         if own.upstream == upstream and own.leaving == leaving:
             return
-        self._renew(own.incarnation, upstream=upstream, leaving=leaving)
+        self._replace_own_record(
+            own.incarnation, upstream=upstream, leaving=leaving
+        )
         self.next_round()
 
     def announce(self) -> None:
-        """Tell of this daemon those that have not heard of it."""
+        """Publish the record of this daemon to those that may not know it."""
         self._publish(_member_key(self._own.vm))
         self.next_round()
 
-    def take_members(
+    def merge_members(
         self,
         records: Iterable[MemberRecord],
         *,
         spread: bool,
     ) -> None:
-        """Take in records of other daemons.
+        """Merge records of other daemons.
 
-        :param spread: whether to pass on what is new.
+        :param spread: whether to pass changed records on.
         """
         for record in records:
             known = self._table.get(record.vm)
             if record.vm == self._own.vm:
-                self._answer_own(record)
+                self._supersede_own_record(record)
             elif self._table.merge(record):
                 _log_change(record)
                 if known is not None:
-                    self._remind(record, known)
+                    self._send_previous_record(record, known)
                 if spread:
-                    self._hot.start(_member_key(record.vm))
-                    self._relay(record)
+                    self._active_rumors.start(_member_key(record.vm))
+                    self._queue_cross_zone_relay(record)
             else:
-                self._hot.record_duplicate(_member_key(record.vm))
+                self._active_rumors.record_duplicate(_member_key(record.vm))
 
-    def take_progress(self, progress: Progress) -> None:
-        """Take in how far a move is, and pass it on."""
+    def merge_progress(self, progress: Progress) -> None:
+        """Merge the progress of a move, and pass it on if it is new."""
         key = RumorKey(RumorKind.PROGRESS, progress.service)
-        if self._desired_state.take_progress(progress):
-            self._hot.start(key)
+        if self._desired_state.apply_progress(progress):
+            self._active_rumors.start(key)
         else:
-            self._hot.record_duplicate(key)
+            self._active_rumors.record_duplicate(key)
 
-    def take_settled(self, settled: SettledOrder) -> None:
-        """Take in a verdict, and pass it on."""
+    def merge_verdict(self, settled: SettledOrder) -> None:
+        """Merge a verdict, and pass it on if it is new."""
         key = RumorKey(RumorKind.VERDICT, settled.service)
-        if self._desired_state.take_settled(settled):
-            self._hot.start(key)
+        if self._desired_state.apply_verdict(settled):
+            self._active_rumors.start(key)
         else:
-            self._hot.record_duplicate(key)
+            self._active_rumors.record_duplicate(key)
 
-    def tell_progress(self, progress: Progress) -> None:
-        """Tell how far a move is that this daemon decides."""
-        if self._desired_state.take_progress(progress):
+    def publish_progress(self, progress: Progress) -> None:
+        """Publish the progress of a move that this daemon decides."""
+        if self._desired_state.apply_progress(progress):
             self._publish(RumorKey(RumorKind.PROGRESS, progress.service))
             self.next_round()
 
-    def tell_settled(self, settled: SettledOrder) -> None:
-        """Tell a verdict that this daemon has written."""
-        if self._desired_state.take_settled(settled):
+    def publish_verdict(self, settled: SettledOrder) -> None:
+        """Publish a verdict that the store is known to hold."""
+        if self._desired_state.apply_verdict(settled):
             self._publish(RumorKey(RumorKind.VERDICT, settled.service))
             self.next_round()
 
-    def tell_suspect(self, fingerprint: Fingerprint) -> None:
-        """Tell what is known here of a request, at once."""
+    def publish_suspect(self, fingerprint: Fingerprint) -> None:
+        """Publish the record of a suspected request at once."""
         key = _suspect_key(fingerprint)
-        self._hot_suspects.start(key)
-        self._exports[key] = None
+        self._active_suspects.start(key)
+        self._cross_zone_queue[key] = None
         self.next_round()
 
-    def take_suspects(self, suspects: Iterable[Suspect]) -> None:
-        """Take in what others know of requests, and pass on what is new."""
+    def merge_suspects(self, suspects: Iterable[Suspect]) -> None:
+        """Merge suspects of other daemons, and pass on those that changed."""
         for suspect in suspects:
             key = _suspect_key(suspect.fingerprint)
             if self._gate.merge(suspect) is not MergeResult.CHANGED:
-                self._hot_suspects.record_duplicate(key)
+                self._active_suspects.record_duplicate(key)
                 continue
-            self._hot_suspects.start(key)
+            self._active_suspects.start(key)
             if self._neighbours.is_relay():
-                self._exports[key] = None
+                self._cross_zone_queue[key] = None
 
     def next_round(self) -> None:
-        """Pass on what is new, once."""
-        if self._hot or self._hot_suspects:
-            self._spread()
-        if self._exports:
-            self._export()
+        """Send one round of the pending rumors."""
+        if self._active_rumors or self._active_suspects:
+            self._send_within_zone()
+        if self._cross_zone_queue:
+            self._send_across_zones()
 
     def _publish(self, key: RumorKey) -> None:
-        """Pass on news that this daemon makes, to all zones."""
-        self._hot.start(key)
-        self._exports[key] = None
+        """Start a rumor that originates here, in this and all other zones."""
+        self._active_rumors.start(key)
+        self._cross_zone_queue[key] = None
 
-    def _remind(self, record: MemberRecord, known: MemberRecord) -> None:
-        """Tell a daemon that has started again of its upstream.
+    def _send_previous_record(
+        self, record: MemberRecord, known: MemberRecord
+    ) -> None:
+        """Send a restarted daemon the record of its upstream.
 
-        Its first record names none, and takes the place of the one that
-        others remember. Some of its zone answer it with that.
+        The first record after a restart names no upstream and replaces the
+        one that the other daemons hold. A few daemons of its zone answer with
+        the previous record.
         """
-        if not _has_forgotten(record, known):
+        if not _lacks_upstream_state(record, known):
             return
         zone = record.availability_zone
         is_near = zone == self._own.availability_zone
         is_alone = len(self._table.in_zone(zone)) == 1
         if (is_near or is_alone) and self._neighbours.is_relay(
-            share=_REMINDERS
+            share=_MEAN_REMINDERS
         ):
             self._send(record, Records(self._own.vm, [known]))
 
-    def _relay(self, record: MemberRecord) -> None:
-        """By chance, tell other zones what is new in this one."""
+    def _queue_cross_zone_relay(self, record: MemberRecord) -> None:
+        """Relay a change of this zone to the other zones, by chance."""
         is_ours = record.availability_zone == self._own.availability_zone
         if is_ours and self._neighbours.is_relay():
-            self._exports[_member_key(record.vm)] = None
+            self._cross_zone_queue[_member_key(record.vm)] = None
 
-    def _spread(self) -> None:
-        keys = self._hot.next_round(ROUND_LIMIT)
-        keys += self._hot_suspects.next_round(SUSPECTS_ROUND_LIMIT)
-        messages = self._resolve(keys)
+    def _send_within_zone(self) -> None:
+        keys = self._active_rumors.next_round(RUMORS_PER_ROUND)
+        keys += self._active_suspects.next_round(SUSPECTS_PER_ROUND)
+        messages = self._build_messages(keys)
         for record in self._neighbours.pick_near(FANOUT):
             for message in messages:
                 self._send(record, message)
 
-    def _export(self) -> None:
-        messages = self._resolve(self._exports)
-        self._exports = {}
+    def _send_across_zones(self) -> None:
+        messages = self._build_messages(self._cross_zone_queue)
+        self._cross_zone_queue = {}
         for zone in self._neighbours.other_zones:
             for record in self._neighbours.pick_far(zone):
                 for message in messages:
                     self._send(record, message)
 
-    def _resolve(self, keys: Iterable[RumorKey]) -> list[Rumors]:
-        """Messages that carry some news, as they are now."""
+    def _build_messages(self, keys: Iterable[RumorKey]) -> list[Rumors]:
+        """Build the datagrams for some rumors from the current state."""
         members: list[MemberRecord] = []
         moves = Rumors([], [], [])
         suspects: list[Suspect] = []
@@ -223,10 +232,10 @@
                     record = self._table.get(VmId(key.name))
                     members += [] if record is None else [record]
                 case RumorKind.PROGRESS:
-                    known = self._desired_state.known.progress
+                    known = self._desired_state.snapshot.progress
                     moves.progress.append(known[ServiceName(key.name)])
                 case RumorKind.VERDICT:
-                    verdicts = self._desired_state.known.settled
+                    verdicts = self._desired_state.snapshot.settled
                     moves.settled.append(verdicts[ServiceName(key.name)])
                 case RumorKind.SUSPECT:
                     suspects += self._find_suspect(key)
@@ -235,12 +244,12 @@
         return messages if moves == Rumors() else [moves, *messages]
 
     def _find_suspect(self, key: RumorKey) -> list[Suspect]:
-        """The record that news are about, unless it was forgotten since."""
+        """The suspect that a rumor names, unless it has been dropped."""
         fingerprint = Fingerprint(bytes.fromhex(key.name))
         found = self._gate.quarantine.get(fingerprint)
         return [] if found is None else [found]
 
-    def _renew(
+    def _replace_own_record(
         self,
         incarnation: int,
         *,
@@ -261,56 +270,61 @@
         self._table.merge(self._own)
         self._publish(_member_key(own.vm))
 
-    def _answer_own(self, record: MemberRecord) -> None:
-        """What others say of this daemon is from an earlier start of it.
+    def _supersede_own_record(self, record: MemberRecord) -> None:
+        """Replace an outdated record of this daemon that others hold.
 
-        If the clock was put back since, the earlier start looks later, and
-        nobody would believe this one; so it overtakes.
+        The record stems from an earlier start of this daemon. If the clock was
+        set back since then, that record has the higher incarnation and would
+        win over the current one, so this daemon takes a higher incarnation.
         """
         own = self._own
         if (
             record.upstream is not None
             and record.incarnation != own.incarnation
         ):
-            self._recall(record.upstream)
+            self._restore_upstream(record.upstream)
             own = self._own
         if record.revision <= own.revision:
             return
-        self._renew(
+        self._replace_own_record(
             max(record.incarnation, own.incarnation) + 1,
             upstream=own.upstream,
             leaving=own.leaving,
         )
 
 
-def _has_forgotten(record: MemberRecord, known: MemberRecord) -> bool:
-    """Whether a daemon that has started again lacks what others remember.
+def _lacks_upstream_state(record: MemberRecord, known: MemberRecord) -> bool:
+    """Whether a restarted daemon lacks the upstream state that others hold.
 
-    It knows no upstream yet, or takes one for ready that said that it ends.
+    It knows no upstream yet, or considers an upstream ready that has announced
+    its end.
     """
     upstream = known.upstream
     if record.incarnation == known.incarnation or upstream is None:
         return False
-    told = record.upstream
-    if told is None:
+    announced = record.upstream
+    if announced is None:
         return True
-    is_same = (told.instance, told.born) == (upstream.instance, upstream.born)
-    return is_same and upstream.has_left and not told.has_left
+    is_same = (announced.instance, announced.born) == (
+        upstream.instance,
+        upstream.born,
+    )
+    return is_same and upstream.has_left and not announced.has_left
 
 
 def split_records(records: list[MemberRecord]) -> list[list[MemberRecord]]:
-    """Parts that fit into a datagram each."""
+    """Split records into chunks that fit into one datagram each."""
     return [
-        records[start : start + RECORDS]
-        for start in range(0, len(records), RECORDS)
+        records[start : start + RECORDS_PER_DATAGRAM]
+        for start in range(0, len(records), RECORDS_PER_DATAGRAM)
     ]
 
 
 def pack_suspects(suspects: list[Suspect]) -> list[Rumors]:
-    """Datagrams that tell of suspects."""
+    """Pack suspects into datagrams."""
     return [
-        Rumors(suspects=suspects[start : start + SUSPECTS])
-        for start in range(0, len(suspects), SUSPECTS)
+        Rumors(suspects=suspects[start : start + SUSPECTS_PER_DATAGRAM])
+        for start in range(0, len(suspects), SUSPECTS_PER_DATAGRAM)
     ]
 
 
@@ -322,7 +336,7 @@
     return RumorKey(RumorKind.MEMBER, vm)
 
 
-def _rate_of(upstream: UpstreamRecord | None) -> float | None:
+def _rate_limit_of(upstream: UpstreamRecord | None) -> float | None:
     if upstream is None or upstream.limit is None:
         return None
     return upstream.limit.rate
@@ -338,5 +352,5 @@
         instance=None if upstream is None else upstream.instance,
         version=None if upstream is None else upstream.version,
         state=None if upstream is None else upstream.state.value,
-        limit=_rate_of(upstream),
+        limit=_rate_limit_of(upstream),
     )
--- a/libs/sidecar/src/verbenamill_sidecar/distribution.py
+++ b/libs/sidecar/src/verbenamill_sidecar/distribution.py
@@ -1,13 +1,14 @@
-"""Who reads the store, and who passes changes on.
-
-Reads of the store are priced, and it takes a bounded number of them. One
-daemon reads in each of three availability zones, however many zones there are.
-They tell the first in rank of the other zones, and within a zone a change goes
-along a tree: whoever runs something new tells its children, and they fetch it
-from there. Readers tell each other as well, so one that is cut off from the
-store gets a change from its peer. Who hears nothing for a while reads by
-itself, the first in rank before the others, and then tells these. While the
-store answers nobody, few go on asking.
+"""Decides which daemons read the store and which daemons pass changes on.
+
+Reads of the store are billed, and the store serves a limited number of them.
+One daemon reads in each of three availability zones, however many zones there
+are. These readers notify the daemons of lowest rank in the other zones. Within
+a zone, changes travel along a tree: a daemon that applies a change notifies
+its children, and they fetch it from there. Readers also notify each other, so
+a reader that is cut off from the store gets changes from another reader. A
+daemon that receives no notice for a while reads the store itself and then
+notifies others; low ranks start first. While the store answers nobody, only a
+few daemons keep asking it.
 """
 
 from collections.abc import Iterable
@@ -19,65 +20,68 @@
 from verbenamill_model.typing import AvailabilityZone, VmId
 from verbenamill_policy.members import MemberRecord, MemberTable
 
-#: Zones in which a daemon reads the store. One that is cut off from the store
-#: does not notice it before its read is overdue; another one tells it. A store
-#: that turns some daemons away may do so to two of them.
+#: Zones in which a daemon reads the store. A reader that is cut off from the
+#: store notices this only when its read is overdue; until then another reader
+#: notifies it. A store that refuses some daemons may refuse two of the readers.
 READING_ZONES = 3
-#: Daemons that read in each zone, where there are too few zones for that.
-READERS_ALONE = 3
+#: Readers in each zone if there are fewer than :data:`_ENOUGH_ZONES` zones.
+READERS_WITH_FEW_ZONES = 3
 _ENOUGH_ZONES = 3
-#: Daemons of a zone that ask a store which answers nobody.
+#: Daemons of a zone that keep asking a store which answers nobody.
 PROBERS = 2
-#: Children of a daemon in the tree; bounds what a thin link has to carry.
-FANOUT = 4
-#: First in rank, who step in for a reader in turn, and are told by readers.
-LEAD = 9
-#: First in rank of another zone, who are told news by readers.
-_HEADS = 2
-#: How often children are told that they are up to date, in seconds.
+#: Children of a daemon in the tree; bounds the load on its network link.
+TREE_FANOUT = 4
+#: Number of lowest ranks that replace a failed reader in turn. A reader
+#: notifies all of them.
+STANDBY_RANKS = 9
+#: Daemons of each other zone that a reader notifies of changes.
+_CONTACTS_PER_ZONE = 2
+#: Interval between notices to children that they are up to date, in seconds.
 NOTICE_PERIOD = 0.6
-#: After this long without a notice, a daemon reads by itself, in seconds: two
-#: notices were lost by then, and a change is still in force within two
-#: seconds.
+#: Time without a notice after which a daemon reads the store itself, in
+#: seconds. Two notices have been lost by then, and a change still takes effect
+#: within two seconds.
 NOTICE_TIMEOUT = 1.3
-#: How much longer each next one in rank waits, in seconds, so that one steps
-#: in and tells the others, and not all of them read; and how often at most.
+#: Additional wait for each higher rank, in seconds, so that one daemon starts
+#: to read and notifies the others before they all read.
 _STAGGER = 0.1
-_MOST_STAGGERS = 4
-#: A daemon that knows of news and does not get them for this long reads by
-#: itself, in seconds; leaves it time to be in step within the bound of 2 s.
+#: Most such steps that a daemon waits.
+_MAX_STAGGERS = 4
+#: Time after which a daemon reads the store itself if it knows of a change but
+#: cannot fetch it, in seconds. The rest of the bound of 2 s is left for the
+#: read.
 BEHIND_TIMEOUT = 0.7
 
 
 class DistributionTree:
-    """Place of this daemon among those of its zone."""
+    """Position of this daemon in the distribution tree of its zone."""
 
     def __init__(self, table: MemberTable, own: VmId) -> None:
         self._table = table
-        self._own = own
-        self._seen = -1
+        self._own_vm = own
+        self._table_version = -1
         self._rank = 0
         self._zone_rank = 0
         self._readers = 1
         self._is_leaving = False
         self._ranks: dict[VmId, int] = {}
         self._children: list[MemberRecord] = []
-        self._lead: list[MemberRecord] = []
-        self._heads: list[MemberRecord] = []
-        self._later_heads: list[MemberRecord] = []
+        self._standby_readers: list[MemberRecord] = []
+        self._zone_contacts: list[MemberRecord] = []
+        self._later_zone_contacts: list[MemberRecord] = []
         self._notice_at = float('-inf')
         self._stalled_at: dict[VmId, float] = {}
         self._behind_since: float | None = None
 
     @property
     def rank(self) -> int:
-        """Place of this daemon in its zone; the first in rank is 0."""
+        """Rank of this daemon in its zone; the lowest rank is 0."""
         self._refresh()
         return self._rank
 
     @property
     def is_reader(self) -> bool:
-        """Whether this daemon is one of those that read."""
+        """Whether this daemon reads the store in normal operation."""
         self._refresh()
         return (
             self._rank < self._readers
@@ -86,55 +90,60 @@
         )
 
     @property
-    def is_head(self) -> bool:
-        """Whether this daemon does what one of its zone has to do."""
+    def represents_zone(self) -> bool:
+        """Whether this daemon performs the tasks that one per zone performs."""
         self._refresh()
         return not self._is_leaving and (self._rank == 0 or self.must_read())
 
     @property
     def children(self) -> list[MemberRecord]:
-        """Daemons that are told from here what is new.
+        """Daemons that this daemon notifies of changes.
 
-        Each has a second parent. One that was just cut off from the store
-        does not notice that until its read is overdue, and goes on telling
-        its children that they are up to date.
+        Each child has a second parent, because a parent that has just been
+        cut off from the store notices this only when its read is overdue and
+        until then tells its children that they are up to date.
         """
         self._refresh()
         if not self.must_read():
             return self._children
-        told = (*self._lead, *self._children, *self._later_heads)
-        return list({record.vm: record for record in told}.values())
+        notified = (
+            *self._standby_readers,
+            *self._children,
+            *self._later_zone_contacts,
+        )
+        return list({record.vm: record for record in notified}.values())
 
     @property
-    def heads(self) -> list[MemberRecord]:
-        """Daemons of other zones that a reader tells news."""
+    def zone_contacts(self) -> list[MemberRecord]:
+        """Daemons of other zones that a reader notifies of changes."""
         self._refresh()
-        return self._heads
+        return self._zone_contacts
 
     def await_notice(self, patience: float) -> None:
-        """Wait some time for a first notice.
+        """Extend the wait for the first notice after a start.
 
         :param patience: in seconds; without a notice by then, this daemon
-            reads by itself.
+            reads the store itself.
         """
         now = trio.current_time()
         self._notice_at = max(self._notice_at, now + patience - NOTICE_TIMEOUT)
 
-    def hear_notice(self) -> None:
-        """A parent has told all that it runs."""
+    def note_current(self) -> None:
+        """Record that this daemon has everything that a parent has applied."""
         self._notice_at = trio.current_time()
         self._behind_since = None
 
-    def hear_stalled(self, sender: VmId) -> None:
-        """A daemon that reads gets no answer of the store."""
+    def note_stalled(self, sender: VmId) -> None:
+        """Record that the store does not answer another daemon that reads."""
         self._stalled_at[sender] = trio.current_time()
 
-    def hear_news(self) -> None:
-        """A parent runs something that has not come here yet.
+    def note_behind(self) -> None:
+        """Record that a parent has applied a change that is missing here.
 
-        Its notices may get here while nothing can be fetched from it, as
-        when its port for requests is out of reach. Taken as up to date, this
-        daemon would never read by itself and stay behind.
+        Notices of a parent may arrive while nothing can be fetched from it,
+        for example if its port for requests is unreachable. If such a notice
+        counted as up to date, this daemon would never read the store itself
+        and would stay behind.
         """
         if self._behind_since is None:
             self._behind_since = trio.current_time()
@@ -151,14 +160,15 @@
         if probers >= PROBERS:
             return False
         if self._rank and self._rank == probers:
-            # All before it ask in vain; it may be them and not the store.
+            # The store answers no lower rank. Only these daemons may be
+            # affected, and not the store.
             return True
         place = self._rank or max(self._zone_rank - READING_ZONES, 0)
-        patience = NOTICE_TIMEOUT + _STAGGER * min(place, _MOST_STAGGERS)
+        patience = NOTICE_TIMEOUT + _STAGGER * min(place, _MAX_STAGGERS)
         return now - self._notice_at > patience
 
     def _count_probers(self, now: float) -> int:
-        """Daemons that ask the store in vain, and rank before this one."""
+        """Count the lower ranks that the store does not answer."""
         return sum(
             now - at <= NOTICE_TIMEOUT
             and self._ranks.get(vm, self._rank) < self._rank
@@ -166,71 +176,79 @@
         )
 
     def _refresh(self) -> None:
-        if self._seen == self._table.version:
+        if self._table_version == self._table.version:
             return
-        self._seen = self._table.version
-        own = self._table.get(self._own)
+        self._table_version = self._table.version
+        own = self._table.get(self._own_vm)
         assert own is not None
         self._is_leaving = own.leaving
         neighbours = sorted(
-            _staying(self._table.in_zone(own.availability_zone), self._own),
-            key=_order,
+            _without_leaving(
+                self._table.in_zone(own.availability_zone), self._own_vm
+            ),
+            key=_rank_key,
         )
         self._ranks = {
             record.vm: rank for rank, record in enumerate(neighbours)
         }
-        self._rank = self._ranks[self._own]
+        self._rank = self._ranks[self._own_vm]
         zones = self._order_zones()
         self._zone_rank = zones.index(own.availability_zone)
-        self._readers = READERS_ALONE if len(zones) < _ENOUGH_ZONES else 1
-        # Those before it must not be told: two readers that satisfy each other
-        # would both stop.
-        self._lead = neighbours[self._rank + 1 : LEAD]
+        self._readers = (
+            READERS_WITH_FEW_ZONES if len(zones) < _ENOUGH_ZONES else 1
+        )
+        # A reader does not notify lower ranks: two readers that each take the
+        # other's notices as sufficient would both stop reading.
+        self._standby_readers = neighbours[self._rank + 1 : STANDBY_RANKS]
         self._children = [
             record
             for rank in (self._rank, self._rank ^ 1)
             for record in neighbours[_children_of(rank, self._readers)]
-            if record.vm != self._own
+            if record.vm != self._own_vm
         ]
-        self._heads = []
-        self._later_heads = []
+        self._zone_contacts = []
+        self._later_zone_contacts = []
         for rank, zone in enumerate(zones):
             if rank == self._zone_rank:
                 continue
-            staying = _staying(self._table.in_zone(zone), self._own)
-            heads = nsmallest(_HEADS, staying, key=_order)
-            self._heads += heads
+            staying = _without_leaving(self._table.in_zone(zone), self._own_vm)
+            zone_contacts = nsmallest(
+                _CONTACTS_PER_ZONE, staying, key=_rank_key
+            )
+            self._zone_contacts += zone_contacts
             if rank > self._zone_rank:
-                self._later_heads += heads[:1]
+                self._later_zone_contacts += zone_contacts[:1]
 
     def _order_zones(self) -> list[AvailabilityZone]:
-        """Zones that have daemons that stay, and the own one."""
+        """Sort the zones with staying daemons, including the own zone."""
         return sorted(
             (
                 zone
                 for zone in self._table.zones
-                if _staying(self._table.in_zone(zone), self._own)
+                if _without_leaving(self._table.in_zone(zone), self._own_vm)
             ),
-            key=_zone_order,
+            key=_zone_rank_key,
         )
 
 
-def _staying(records: Iterable[MemberRecord], own: VmId) -> list[MemberRecord]:
-    """Those that do not leave, and this daemon."""
+def _without_leaving(
+    records: Iterable[MemberRecord], own: VmId
+) -> list[MemberRecord]:
+    """Records of daemons that are not leaving, and of this daemon."""
     return [
         record for record in records if not record.leaving or record.vm == own
     ]
 
 
 def _children_of(rank: int, readers: int) -> slice:
-    """Ranks of a daemon's children; always higher than its own."""
-    first = readers + rank * FANOUT
-    return slice(first, first + FANOUT)
+    """Ranks of a daemon's children, which are always above its own."""
+    first = readers + rank * TREE_FANOUT
+    return slice(first, first + TREE_FANOUT)
 
 
-def _order(record: MemberRecord) -> tuple[int, VmId]:
+def _rank_key(record: MemberRecord) -> tuple[int, VmId]:
     return crc32(record.vm.encode()), record.vm
 
 
-def _zone_order(zone: AvailabilityZone) -> tuple[int, AvailabilityZone]:
+def _zone_rank_key(zone: AvailabilityZone) -> tuple[int, AvailabilityZone]:
     return crc32(zone.encode()), zone
--- a/libs/sidecar/src/verbenamill_sidecar/gossip.py
+++ b/libs/sidecar/src/verbenamill_sidecar/gossip.py
@@ -1,7 +1,8 @@
-"""Datagrams between daemons: who is there, and how far moves are.
+"""Gossip between daemons over UDP: membership, progress of moves, suspects.
 
-News spread as rumors, and comparisons find what those miss. Both are in
-modules of their own; this one has the socket and the times.
+:mod:`~verbenamill_sidecar.dissemination` spreads updates as rumors, and
+:mod:`~verbenamill_sidecar.reconciliation` finds what rumors missed. This
+module owns the socket, the timers and the dispatch of received messages.
 """
 
 import socket
@@ -40,51 +41,53 @@
     decode_message,
     encode_message,
 )
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.dissemination import Dissemination
 from verbenamill_sidecar.distribution import DistributionTree
-from verbenamill_sidecar.store_follower import Follower
-from verbenamill_sidecar.desired_state import DesiredState
+from verbenamill_sidecar.liveness import LivenessMonitor
 from verbenamill_sidecar.peers import Peer, Peers
 from verbenamill_sidecar.reconciliation import Reconciliation
+from verbenamill_sidecar.store_follower import Follower
 from verbenamill_sidecar.suspects import SuspectGate
 from verbenamill_sidecar.traffic import Traffic
-from verbenamill_sidecar.liveness import Watch
 from verbenamill_telemetry import Event, log
 
-#: How often news are passed on, in seconds.
+#: Interval between rounds of rumors, in seconds.
 RUMOR_PERIOD = 0.1
-#: How often tables are compared, in seconds.
+#: Mean interval between comparisons with another daemon, in seconds.
 COMPARE_PERIOD = 1.0
-#: The same for a daemon that leaves. It is out of the tree that feeds the
-#: others, and learns of a change by comparing.
-_LEAVING_PERIOD = 0.3
-#: How long after a start it is waited for what others remember, in seconds;
-#: who has met nobody by then is alone.
-MEET_TIME = 0.5
-#: Neighbours that a daemon greets at its start, and at the first start of the
-#: whole fleet, when none of them has heard of another one yet.
-_GREETED = 2
-GREETED_FIRST = 64
-#: Least time between two introductions to one address, in seconds, and
-#: addresses that this is remembered of.
-_INTRODUCE_PERIOD = 0.1
-_MOST_INTRODUCED = 1000
-_MAX_DATAGRAM = 65_000
+#: The same for a daemon that is leaving, in seconds. It is no longer part of
+#: the distribution tree and learns of changes only by comparing.
+_LEAVING_COMPARE_PERIOD = 0.3
+#: Longest wait after a start for the state that other daemons hold, in
+#: seconds. A daemon that has received none by then is considered alone.
+PEER_STATE_TIMEOUT = 0.5
+#: Daemons of its zone that a daemon greets when it starts.
+_GREETED_PEERS = 2
+#: The same at the first start of the whole fleet, when none of these daemons
+#: has heard of another one yet.
+FIRST_START_GREETED_PEERS = 64
+#: Shortest interval between two introductions to one address, in seconds.
+_INTRODUCTION_PERIOD = 0.1
+#: Addresses for which the time of the last introduction is kept.
+_MAX_INTRODUCED_ADDRESSES = 1000
+_MAX_DATAGRAM_BYTES = 65_000
 
 
 _address_of = lru_cache(maxsize=1024)(parse_address)
 
 
 class Gossip:
-    """Keeps the tables of all daemons alike.
-
-    :param recall: told what others remember of the own upstream.
-    :param follower: told what other daemons know of the store.
-    :param counted: told of the counts of other owners.
-    :param gate: knows the requests under which upstreams crashed.
-    :ivar has_met: set once others have told what they remember, or soon after
-        the start.
-    :ivar has_heard: set once another daemon has sent something.
+    """Replicates the member table and the state of moves to all daemons.
+
+    :param restore_upstream: called with the record of this daemon's upstream
+        that other daemons still hold from before a restart.
+    :param follower: receives the version stamps of other daemons.
+    :param on_tally: called with each tally of another owner.
+    :param gate: holds the requests that are suspected of crashing upstreams.
+    :ivar peer_state_received: set once another daemon has sent its state, or
+        :data:`PEER_STATE_TIMEOUT` after the start.
+    :ivar peer_heard: set once any datagram of another daemon has arrived.
     """
 
     def __init__(
@@ -95,10 +98,10 @@
         peers: Peers,
         desired_state: DesiredState,
         random: Random,
-        recall: Callable[[UpstreamRecord], None],
+        restore_upstream: Callable[[UpstreamRecord], None],
         follower: Follower,
         tree: DistributionTree,
-        counted: Callable[[Tally], None],
+        on_tally: Callable[[Tally], None],
         gate: SuspectGate,
     ) -> None:
         self._table = table
@@ -107,7 +110,7 @@
         self._random = random
         self._follower = follower
         self._tree = tree
-        self._counted = counted
+        self._on_tally = on_tally
         self._zone = own.availability_zone
         self._sock: socket.socket | None = None
         self._neighbours = Neighbours(
@@ -116,47 +119,47 @@
             random=random,
             is_suspect=peers.is_suspect,
         )
-        self._news = Dissemination(
+        self._dissemination = Dissemination(
             own=own,
             table=table,
             neighbours=self._neighbours,
             desired_state=desired_state,
             send=self._send,
-            recall=recall,
+            restore_upstream=restore_upstream,
             gate=gate,
         )
         self._reconciliation = Reconciliation(
-            own=lambda: self._news.own,
+            own=lambda: self._dissemination.own,
             table=table,
             neighbours=self._neighbours,
             desired_state=desired_state,
             send=self._send,
             quarantine=gate.quarantine,
         )
-        self._watch = Watch(
+        self._liveness = LivenessMonitor(
             peers,
             availability_zone=own.availability_zone,
-            ask=lambda record: self._send(record, Ask(own.vm)),
+            probe=lambda record: self._send(record, Ask(own.vm)),
         )
         self._introduced_at: dict[Address, float] = {}
         self.traffic = Traffic()
-        self.has_met = trio.Event()
-        self.has_heard = trio.Event()
+        self.peer_state_received = trio.Event()
+        self.peer_heard = trio.Event()
 
     @property
     def own(self) -> MemberRecord:
-        """What this daemon tells of itself."""
-        return self._news.own
+        """The current record of this daemon."""
+        return self._dissemination.own
 
     @property
-    def has_others(self) -> bool:
-        """Whether any other daemon is known."""
+    def knows_peers(self) -> bool:
+        """Whether at least one other daemon is known."""
         return len(self._table) > 1
 
     def bind(self, address: Address) -> None:
         """Open the socket.
 
-        :raises OSError: if the address cannot be had.
+        :raises OSError: if the address cannot be bound.
         """
         family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -175,79 +178,82 @@
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._receive)
-                nursery.start_soon(self._spread)
+                nursery.start_soon(self._run_dissemination)
                 nursery.start_soon(self._compare)
-                nursery.start_soon(self._watch.run)
-                await trio.sleep(MEET_TIME)
-                self.has_met.set()
+                nursery.start_soon(self._liveness.run)
+                await trio.sleep(PEER_STATE_TIMEOUT)
+                self.peer_state_received.set()
         finally:
             self.close()
 
-    def update(
+    def update_own(
         self,
         *,
         upstream: UpstreamRecord | None,
         leaving: bool = False,
     ) -> None:
-        """Tell something new of this daemon, at once."""
-        self._news.update(upstream=upstream, leaving=leaving)
+        """Publish a changed record of this daemon at once."""
+        self._dissemination.update_own(upstream=upstream, leaving=leaving)
 
-    def take_members(
+    def merge_members(
         self,
         records: Iterable[MemberRecord],
         *,
         spread: bool,
     ) -> None:
-        """Take in records from the store."""
-        self._news.take_members(records, spread=spread)
+        """Merge records that were read from the store."""
+        self._dissemination.merge_members(records, spread=spread)
 
-    def greet(self, *, count: int = _GREETED) -> None:
-        """Make this daemon known, and ask some neighbours what they know."""
-        self._news.announce()
+    def greet(self, *, count: int = _GREETED_PEERS) -> None:
+        """Announce this daemon and request the state of some neighbours."""
+        self._dissemination.announce()
         summary = self._reconciliation.summarize()
         for record in self._neighbours.pick_near(count):
             self._send(record, Rumors([self.own]))
             self._send(record, summary)
         if not self._neighbours.near_count:
-            self._reconciliation.compare_far()
+            self._reconciliation.compare_across_zones()
 
-    def tell_progress(self, progress: Progress) -> None:
-        """Tell how far a move is that this daemon decides."""
-        self._news.tell_progress(progress)
+    def publish_progress(self, progress: Progress) -> None:
+        """Publish the progress of a move that this daemon decides."""
+        self._dissemination.publish_progress(progress)
 
-    def tell_settled(self, settled: SettledOrder) -> None:
-        """Tell a verdict that this daemon knows of the store."""
-        self._news.tell_settled(settled)
+    def publish_verdict(self, settled: SettledOrder) -> None:
+        """Publish a verdict that the store is known to hold."""
+        self._dissemination.publish_verdict(settled)
 
-    def tell_suspect(self, fingerprint: Fingerprint) -> None:
-        """Tell what is known here of a request, at once."""
-        self._news.tell_suspect(fingerprint)
+    def publish_suspect(self, fingerprint: Fingerprint) -> None:
+        """Publish the record of a suspected request at once."""
+        self._dissemination.publish_suspect(fingerprint)
 
-    def take_suspects(self, suspects: Iterable[Suspect]) -> None:
-        """Take in what the store knows of requests."""
-        self._news.take_suspects(suspects)
+    def merge_suspects(self, suspects: Iterable[Suspect]) -> None:
+        """Merge suspects that were read from the store."""
+        self._dissemination.merge_suspects(suspects)
 
     def notify(self, kind: NoticeKind) -> None:
-        """Tell others what is known here of the store's content."""
+        """Send a notice about this daemon's view of the store to others."""
         notice = Notice(self.own.vm, self._desired_state.stamp, kind)
-        is_news = kind is NoticeKind.NEWS
-        to = self._tree.heads if is_news else self._tree.children
+        is_change = kind is NoticeKind.CHANGED
+        to = self._tree.zone_contacts if is_change else self._tree.children
         for record in to:
             self._send(record, notice)
 
     def send_tally(self, peer: Peer, tally: Tally) -> None:
-        """Tell a decider what was counted here."""
+        """Send a tally of this daemon to the decider of a move."""
         self._send(peer.record, Tallies([tally]))
 
-    async def _spread(self) -> None:
+    async def _run_dissemination(self) -> None:
         while True:
             await trio.sleep(RUMOR_PERIOD)
-            self._news.next_round()
+            self._dissemination.next_round()
 
     async def _compare(self) -> None:
         while True:
-            period = _LEAVING_PERIOD if self.own.leaving else COMPARE_PERIOD
-            # All daemons that start together would send together for ever.
+            period = (
+                _LEAVING_COMPARE_PERIOD if self.own.leaving else COMPARE_PERIOD
+            )
+            # Without jitter, daemons that start together would send their
+            # comparisons at the same moments for ever.
             await trio.sleep(period * (0.5 + self._random.random()))
             self._reconciliation.next_round()
 
@@ -257,10 +263,10 @@
         while True:
             await trio.lowlevel.wait_readable(sock)
             try:
-                data, source = sock.recvfrom(_MAX_DATAGRAM)
+                data, source = sock.recvfrom(_MAX_DATAGRAM_BYTES)
             except OSError:
-                # Also what the kernel tells of an earlier datagram that
-                # found nobody.
+                # The kernel also reports here that an earlier datagram was
+                # undeliverable.
                 continue
             self.traffic.count_received()
             try:
@@ -268,135 +274,146 @@
             except msgspec.MsgspecError:
                 log(Event.MESSAGE_UNKNOWN, kind=f'{len(data)} bytes')
                 continue
-            self.has_heard.set()
+            self.peer_heard.set()
             self._handle(message, Address(source[0], source[1]))
 
     def _handle(self, message: Message, source: Address) -> None:
         match message:
             case Rumors():
-                self._take_rumors(message)
+                self._handle_rumors(message)
             case Tallies():
                 for tally in message.tallies:
-                    self._counted(tally)
+                    self._on_tally(tally)
             case Ask():
-                self._hear(message.sender)
+                self._mark_alive(message.sender)
                 sender = self._table.get(message.sender)
                 if sender is None:
-                    self._send_to(source, Alive(self.own.vm), crosses=False)
+                    self._send_to(
+                        source, Alive(self.own.vm), crosses_zones=False
+                    )
                     self._introduce(message.sender, source)
                 else:
                     self._send(sender, Alive(self.own.vm))
             case Alive():
-                self._hear(message.sender)
+                self._mark_alive(message.sender)
             case Notice():
-                self._take_notice(message, source)
+                self._handle_notice(message, source)
             case _:
-                self._take_comparison(message, source)
+                self._handle_comparison(message, source)
 
-    def _hear(self, vm: VmId) -> None:
+    def _mark_alive(self, vm: VmId) -> None:
         peer = self._peers.get(vm)
         if peer is not None:
             peer.mark_alive()
 
-    def _take_notice(self, message: Notice, source: Address) -> None:
-        self._hear(message.sender)
+    def _handle_notice(self, message: Notice, source: Address) -> None:
+        self._mark_alive(message.sender)
         if self._table.get(message.sender) is None:
             self._introduce(message.sender, source)
-        is_behind = self._desired_state.lacks(message.stamp)
+        is_behind = self._desired_state.is_older_than(message.stamp)
         match message.kind:
-            case NoticeKind.NEWS:
-                self._follower.hear_stamp(message.sender, message.stamp)
+            case NoticeKind.CHANGED:
+                self._follower.handle_stamp(message.sender, message.stamp)
                 return
             case NoticeKind.STALLED:
-                self._tree.hear_stalled(message.sender)
+                self._tree.note_stalled(message.sender)
             case NoticeKind.CURRENT if not is_behind:
-                self._tree.hear_notice()
+                self._tree.note_current()
         if is_behind:
-            self._tree.hear_news()
-            self._follower.is_behind(
+            self._tree.note_behind()
+            self._follower.schedule_fetch(
                 message.sender,
                 message.stamp,
                 is_parent=True,
             )
 
-    def _take_rumors(self, message: Rumors) -> None:
-        self._news.take_members(message.members, spread=True)
+    def _handle_rumors(self, message: Rumors) -> None:
+        self._dissemination.merge_members(message.members, spread=True)
         for settled in message.settled:
-            self._news.take_settled(settled)
+            self._dissemination.merge_verdict(settled)
         for progress in message.progress:
-            self._news.take_progress(progress)
-        self._news.take_suspects(message.suspects)
-        self.has_met.set()
+            self._dissemination.merge_progress(progress)
+        self._dissemination.merge_suspects(message.suspects)
+        self.peer_state_received.set()
 
-    def _take_comparison(
+    def _handle_comparison(
         self,
         message: Summary | Digests | Ages | Wanted | Records,
         source: Address,
     ) -> None:
-        self._hear(message.sender)
+        self._mark_alive(message.sender)
         sender = self._table.get(message.sender)
         if isinstance(message, Records):
-            self._take_records(message, sender)
+            self._handle_records(message, sender)
             return
         if sender is None:
             self._introduce(message.sender, source)
             return
         match message:
             case Summary():
-                self._take_summary(message, sender)
+                self._handle_summary(message, sender)
             case Digests():
-                self._reconciliation.take_digests(message, sender)
+                self._reconciliation.handle_digests(message, sender)
             case Ages():
-                self._reconciliation.take_ages(message, sender)
+                self._reconciliation.handle_ages(message, sender)
             case Wanted():
-                self._reconciliation.take_wanted(message, sender)
+                self._reconciliation.handle_wanted(message, sender)
 
-    def _take_records(
+    def _handle_records(
         self,
         message: Records,
         sender: MemberRecord | None,
     ) -> None:
-        # In its own zone the sender compares with others as well.
-        is_far = sender is not None and sender.availability_zone != self._zone
-        self._news.take_members(message.members, spread=is_far)
+        # Within a zone the sender also compares with other daemons, so only
+        # records from another zone are spread further.
+        is_from_other_zone = (
+            sender is not None and sender.availability_zone != self._zone
+        )
+        self._dissemination.merge_members(
+            message.members, spread=is_from_other_zone
+        )
         known = self._table.get(message.sender)
         if sender is None and known is not None:
             self._send(known, self._reconciliation.summarize())
 
-    def _take_summary(self, message: Summary, sender: MemberRecord) -> None:
-        self._follower.hear_stamp(message.sender, message.stamp)
-        if self.own.leaving and not self._desired_state.lacks(message.stamp):
-            self._tree.hear_notice()
-        self._reconciliation.take_summary(message, sender)
-        self.has_met.set()
+    def _handle_summary(self, message: Summary, sender: MemberRecord) -> None:
+        self._follower.handle_stamp(message.sender, message.stamp)
+        if self.own.leaving and not self._desired_state.is_older_than(
+            message.stamp
+        ):
+            self._tree.note_current()
+        self._reconciliation.handle_summary(message, sender)
+        self.peer_state_received.set()
 
     def _introduce(self, sender: VmId, source: Address) -> None:
-        """Tell an unknown sender of this daemon, and ask who it is.
+        """Introduce this daemon to an unknown sender and ask for its record.
 
-        While the store is out of reach, a daemon that was restarted knows
-        nobody. Others still know it and write to it; answered, they tell it
-        all they know, and it serves again without the store.
+        While the store is unavailable, a restarted daemon knows nobody, but
+        the others still know it and send to it. Once introduced, they send
+        their whole state, and the daemon can serve without the store.
         """
         now = trio.current_time()
-        if now - self._introduced_at.get(source, -1) < _INTRODUCE_PERIOD:
+        if now - self._introduced_at.get(source, -1) < _INTRODUCTION_PERIOD:
             return
-        if len(self._introduced_at) >= _MOST_INTRODUCED:
+        if len(self._introduced_at) >= _MAX_INTRODUCED_ADDRESSES:
             self._introduced_at.clear()
         self._introduced_at[source] = now
-        self._send_to(source, Rumors([self.own]), crosses=False)
+        self._send_to(source, Rumors([self.own]), crosses_zones=False)
         wanted = Wanted(self.own.vm, [sender])
-        self._send_to(source, wanted, crosses=False)
+        self._send_to(source, wanted, crosses_zones=False)
 
     def _send(self, to: MemberRecord, message: Message) -> None:
-        crosses = to.availability_zone != self._zone
-        self._send_to(_address_of(to.gossip), message, crosses=crosses)
+        crosses_zones = to.availability_zone != self._zone
+        self._send_to(
+            _address_of(to.gossip), message, crosses_zones=crosses_zones
+        )
 
     def _send_to(
         self,
         address: Address,
         message: Message,
         *,
-        crosses: bool,
+        crosses_zones: bool,
     ) -> None:
         sock = self._sock
         if sock is None:
@@ -405,7 +422,7 @@
         try:
             sock.sendto(data, (address.host, address.port))
         except OSError:
-            # A datagram may be lost on its way as well; all that it told is
-            # told again by the next comparison.
+            # Sending is best effort: a datagram may get lost on the network
+            # too, and the next comparison repeats its content.
             return
-        self.traffic.count_sent(message, len(data), crosses=crosses)
+        self.traffic.count_sent(message, len(data), crosses_zones=crosses_zones)
--- a/libs/sidecar/src/verbenamill_sidecar/health.py
+++ b/libs/sidecar/src/verbenamill_sidecar/health.py
@@ -1,4 +1,4 @@
-"""Whether callers may be sent here, and what the daemon counts."""
+"""Serves the readiness check and the metrics."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -10,10 +10,10 @@
 
 
 class Health:
-    """Serves the health port.
+    """Handles requests to the health port.
 
-    :param is_ready: whether callers may be sent here.
-    :param render: text of the metrics.
+    :param is_ready: whether the daemon accepts requests of callers.
+    :param render: renders the text of the metrics.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         self._render = render
 
     async def handle(self, request: Request) -> Response:
-        """Answer one question."""
+        """Answer one request."""
         if request.head.target.partition(b'?')[0] == METRICS_PATH:
             return Response(
                 status=HTTPStatus.OK,
--- a/libs/sidecar/src/verbenamill_sidecar/liveness.py
+++ b/libs/sidecar/src/verbenamill_sidecar/liveness.py
@@ -1,4 +1,4 @@
-"""Which daemons owe a sign of life, and who is asked for one."""
+"""Probes the daemons that owe an answer or are unreachable."""
 
 from collections.abc import Callable
 
@@ -9,18 +9,18 @@
 from verbenamill_sidecar.peers import PROBE_AFTER, Peer, Peers
 from verbenamill_telemetry import Event, log
 
-#: How often daemons that owe an answer are looked at, in seconds.
-WATCH_PERIOD = 0.1
-#: How often one that is out of reach is asked for a sign of life, in s.
+#: Interval between checks of the daemons that owe an answer, in seconds.
+CHECK_PERIOD = 0.1
+#: Interval between probes of an unreachable daemon, in seconds.
 PROBE_PERIOD = 0.5
-#: Delay of the own loop that is worth a line, in seconds.
-HELD_UP = 0.15
+#: Delay of this module's own loop that is logged as a stall, in seconds.
+STALL_THRESHOLD = 0.15
 
 
-class Watch:
-    """Looks at all daemons that owe an answer, and at those that are away.
+class LivenessMonitor:
+    """Watches the daemons that owe an answer and those that are unreachable.
 
-    :param ask: asks a daemon for a sign of life.
+    :param probe: sends a probe to a daemon, which answers that it is alive.
     """
 
     def __init__(
@@ -28,44 +28,44 @@
         peers: Peers,
         *,
         availability_zone: AvailabilityZone,
-        ask: Callable[[MemberRecord], None],
+        probe: Callable[[MemberRecord], None],
     ) -> None:
         self._peers = peers
         self._zone = availability_zone
-        self._ask = ask
-        self._asked_at: dict[VmId, float] = {}
-        self._awake_since = float('-inf')
+        self._probe = probe
+        self._probed_at: dict[VmId, float] = {}
+        self._resumed_at = float('-inf')
 
     async def run(self) -> None:
-        """Look again and again until cancelled."""
+        """Check the watched daemons at regular intervals until cancelled."""
         while True:
-            due = trio.current_time() + WATCH_PERIOD
+            due = trio.current_time() + CHECK_PERIOD
             await trio.sleep_until(due)
             now = trio.current_time()
-            if now - due >= HELD_UP:
+            if now - due >= STALL_THRESHOLD:
                 log(Event.PROCESS_STALLED, ms=int((now - due) * 1000))
-                self._awake_since = now
-            for peer in self._peers.watched_peers():
-                self._look_at(peer, now)
+                self._resumed_at = now
+            for peer in self._peers.to_watch():
+                self._check(peer, now)
 
-    def _look_at(self, peer: Peer, now: float) -> None:
-        """Ask a daemon that owes an answer for a sign of life."""
-        silent = peer.silent_for(now)
-        peer.check_silence(now, awake_since=self._awake_since)
-        is_away = peer.owner.down_until > now or self._may_return(peer)
-        if silent < PROBE_AFTER and not is_away:
+    def _check(self, peer: Peer, now: float) -> None:
+        """Update the state of a silent daemon, and probe it if it is due."""
+        silence = peer.silent_for(now)
+        peer.doubt_silence(now, awake_since=self._resumed_at)
+        is_unreachable = peer.owner.down_until > now or self._may_return(peer)
+        if silence < ASK_AFTER and not is_unreachable:
             return
-        pause = PROBE_PERIOD if is_away else 2 * WATCH_PERIOD
-        asked_at = self._asked_at.get(peer.record.vm, float('-inf'))
-        if now - asked_at >= pause:
-            self._asked_at[peer.record.vm] = now
-            self._ask(peer.record)
+        pause = PROBE_PERIOD if is_unreachable else 2 * CHECK_PERIOD
+        probed_at = self._probed_at.get(peer.record.vm, float('-inf'))
+        if now - probed_at >= pause:
+            self._probed_at[peer.record.vm] = now
+            self._probe(peer.record)
 
     def _may_return(self, peer: Peer) -> bool:
-        """Whether a neighbour that left is to be looked for.
+        """Whether to probe a daemon of this zone that has left.
 
-        It may be starting again, without the store and so without knowing
-        anybody. Those of its own zone look for it.
+        It may be restarting while the store is unavailable and thus know no
+        other daemon. The daemons of its own zone probe it.
         """
         return (
             peer.record.leaving
--- a/libs/sidecar/src/verbenamill_sidecar/metrics.py
+++ b/libs/sidecar/src/verbenamill_sidecar/metrics.py
@@ -19,19 +19,19 @@
 from verbenamill_sidecar.traffic import Traffic
 
 
-#: Help and value by name.
+#: Help text and value of each gauge, by name.
 GaugeValues = dict[str, tuple[str, float]]
 
 
 class Gauges:
-    """Values of now, each with its name and help."""
+    """Reads the current values of all gauges."""
 
     def __init__(self, read: Callable[[], GaugeValues]) -> None:
         self.read = read
 
 
-class Control(NamedTuple):
-    """What coordination costs: calls to the store, and datagrams."""
+class CoordinationCounters(NamedTuple):
+    """Calls to the store and datagrams that coordination has cost."""
 
     store_calls: Counter[StorePurpose]
     traffic: Traffic
@@ -42,11 +42,11 @@
         self,
         stats: CallStats,
         gauges: Gauges,
-        control: Control,
+        coordination: CoordinationCounters,
     ) -> None:
         self._stats = stats
         self._gauges = gauges
-        self._control = control
+        self._coordination = coordination
 
     def collect(self) -> Iterable[Metric]:
         yield from self._counters()
@@ -54,12 +54,14 @@
         yield from self._datagrams()
         yield self._outcomes()
         yield self._latencies()
-        for name, (text, value) in self._gauges.read().items():
-            yield GaugeMetricFamily(f'verbenamill_{name}', text, value=value)
+        for name, (help_text, value) in self._gauges.read().items():
+            yield GaugeMetricFamily(
+                f'verbenamill_{name}', help_text, value=value
+            )
 
     def _counters(self) -> Iterator[Metric]:
         stats = self._stats
-        for name, text, value in (
+        for name, help_text, value in (
             ('requests', 'Requests taken from callers.', stats.requests),
             ('answered', 'Requests answered by an upstream.', stats.answered),
             ('late', 'Answers after the objective.', stats.late),
@@ -67,7 +69,7 @@
         ):
             yield CounterMetricFamily(
                 f'verbenamill_calls_{name}',
-                text,
+                help_text,
                 value=value,
             )
 
@@ -77,23 +79,23 @@
             'Calls to the store, by what they are for.',
             labels=['purpose'],
         )
-        for purpose, count in self._control.store_calls.items():
+        for purpose, count in self._coordination.store_calls.items():
             family.add_metric([purpose.value], count)
         return family
 
     def _datagrams(self) -> Iterator[Metric]:
-        traffic = self._control.traffic
-        for name, text, counts in (
+        traffic = self._coordination.traffic
+        for name, help_text, counts in (
             ('datagrams', 'Datagrams sent to daemons.', traffic.datagrams),
             ('bytes', 'Their payload in bytes.', traffic.bytes),
         ):
             family = CounterMetricFamily(
                 f'verbenamill_gossip_{name}',
-                text,
+                help_text,
                 labels=['message', 'zone'],
             )
             for kind, count in counts.items():
-                zone = 'other' if kind.crosses else 'own'
+                zone = 'other' if kind.crosses_zones else 'own'
                 family.add_metric([kind.message, zone], count)
             yield family
 
@@ -116,26 +118,28 @@
         )
         latencies = self._stats.latencies
         for service, counts in latencies.counts.items():
-            total = 0
+            cumulative = 0
             buckets: list[tuple[str, float]] = []
-            for bound, count in zip(
-                (*LATENCY_BOUNDS, None), counts, strict=True
-            ):
-                total += count
-                buckets.append(('+Inf' if bound is None else str(bound), total))
+            for bound, count in zip((*BOUNDS, None), counts, strict=True):
+                cumulative += count
+                buckets.append(
+                    ('+Inf' if bound is None else str(bound), cumulative)
+                )
             family.add_metric([service], buckets, latencies.sums[service])
         return family
 
 
-def render(stats: CallStats, gauges: Gauges, control: Control) -> bytes:
-    """Text of all metrics."""
+def render_metrics(
+    stats: CallStats, gauges: Gauges, coordination: CoordinationCounters
+) -> bytes:
+    """Render all metrics as text."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(_Collector(stats, gauges, control))
+    registry.register(_Collector(stats, gauges, coordination))
     return generate_latest(registry)
 
 
 def age_of(moment: float) -> float:
-    """Time since a moment on trio's clock, in seconds; -1 if it never was."""
+    """Seconds since a moment on trio's clock; -1 if it has not occurred."""
     if moment == float('-inf'):
         return -1
     return trio.current_time() - moment
--- a/libs/sidecar/src/verbenamill_sidecar/protocol.py
+++ b/libs/sidecar/src/verbenamill_sidecar/protocol.py
@@ -1,7 +1,7 @@
-"""What the daemon needs of its surroundings, behind interfaces.
+"""Interfaces of the daemon to the platform that it runs on.
 
-An adapter implements them for a platform: it knows the names and formats
-there and decides nothing.
+An adapter implements them for one platform. It knows the names and formats of
+that platform and makes no decisions.
 """
 
 from collections import Counter
@@ -13,8 +13,8 @@
 from returns.result import Result
 
 from verbenamill_model.typing import AvailabilityZone, ServiceName, VmId
-from verbenamill_policy.heartbeats import Heartbeat
 from verbenamill_policy.fingerprints import Fingerprint
+from verbenamill_policy.heartbeats import Heartbeat
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.quarantine import Suspect
 from verbenamill_policy.rollouts import Order, SettledOrder
@@ -22,17 +22,18 @@
 
 
 class HeaderNames(Struct, frozen=True, kw_only=True):
-    """Headers that callers and upstreams understand, in lower case.
-
-    :param request_id: names one try of a caller; upstreams echo it.
-    :param deadline: time left, in milliseconds.
-    :param seal: marks a body as the upstream's own.
-    :param instance: on a request, the one upstream that may run it.
-    :param load: on an answer, what the upstream says of its load.
-    :param not_run: on an answer, that the request did not run.
-    :param caller: service of the VM that a request began on.
-    :param limit: on an answer, requests a second that the upstream takes.
-    :param leaving: on an answer, that the upstream ends.
+    """Names of the headers that callers and upstreams use, in lower case.
+
+    :param request_id: identifies one try of a caller; upstreams echo it.
+    :param deadline: time left for the request, in milliseconds.
+    :param seal: on an answer, marks the body as complete and the upstream's
+        own.
+    :param instance: on a request, the only upstream that may run it.
+    :param load: on an answer, the load that the upstream reports.
+    :param not_run: on an answer, that the request was not run.
+    :param caller: service of the VM on which the request originated.
+    :param limit: on an answer, requests per second that the upstream accepts.
+    :param leaving: on an answer, that the upstream is leaving.
     """
 
     request_id: bytes
@@ -48,9 +49,9 @@
 
 @unique
 class StoreFault(Enum):
-    """Why a call to the store came to nothing.
+    """Why a call to the store failed.
 
-    After ``UNKNOWN`` a write may have taken effect, or may later.
+    After ``UNKNOWN`` a write may have taken effect or may still do so.
     """
 
     REFUSED = 'refused'
@@ -61,7 +62,7 @@
 
 @unique
 class StorePurpose(Enum):
-    """What a call to the store is for."""
+    """Purpose of a call to the store, as it is counted."""
 
     PUBLISHED = 'published'
     FOLLOW = 'follow'
@@ -75,11 +76,11 @@
 
 
 class PublishedRecords(Struct, frozen=True, kw_only=True):
-    """What operators have published, as far as a read tells it.
+    """Records that operators have published, as one read returns them.
 
-    :param next_position: position behind it, to read on from.
-    :param configuration: newest one among it, if any.
-    :param faults: records that could not be read, and why.
+    :param next_position: position after these records, for the next read.
+    :param configuration: the newest configuration among them, if any.
+    :param faults: for each unreadable record, why it could not be read.
     """
 
     next_position: int
@@ -89,9 +90,9 @@
 
 
 class ReportedVerdicts(Struct, frozen=True, kw_only=True):
-    """What operators were told of their orders.
+    """The verdicts that operators were last told, by service.
 
-    :param end: position behind the newest, for a conditional write.
+    :param end: position after the newest one, for a conditional write.
     """
 
     end: int
@@ -99,9 +100,9 @@
 
 
 class SavedState(Struct, frozen=True, kw_only=True):
-    """What daemons keep in the store for those that start later.
+    """What daemons save in the store for daemons that start later.
 
-    :param members: daemons that have told of themselves and not left.
+    :param members: records of daemons that have not left.
     :param suspects: requests that are blocked, or that an operator cleared.
     """
 
@@ -110,27 +111,27 @@
 
 
 class Store(Protocol):
-    """The platform's store, as far as the daemon uses it."""
+    """The operations of the platform's store that the daemon uses."""
 
     @property
     def calls(self) -> Counter[StorePurpose]:
         """Calls made since the start, by purpose."""
 
     async def read_newest(self) -> Result[PublishedRecords, StoreFault]:
-        """The newest of all that operators have published."""
+        """Read the newest record of each kind that operators published."""
 
     async def read_from(
         self,
         position: int,
         wait: float,
     ) -> Result[PublishedRecords, StoreFault]:
-        """What operators published from a position on.
+        """Read what operators published from a position on.
 
-        :param wait: longest time until something comes, in seconds.
+        :param wait: longest time to wait for a record, in seconds.
         """
 
     async def read_verdicts(self) -> Result[ReportedVerdicts, StoreFault]:
-        """What operators were told last, by service."""
+        """Read the verdict that operators were last told for each service."""
 
     async def record_verdict(
         self,
@@ -138,15 +139,15 @@
         *,
         end: int,
     ) -> Result[None, StoreFault]:
-        """Tell the operator, unless anything was told since ``end``."""
+        """Write a verdict, unless another was written since ``end``."""
 
     async def read_saved_state(self) -> Result[SavedState, StoreFault]:
-        """What daemons keep there for those that start later."""
+        """Read what daemons saved for daemons that start later."""
 
     async def announce_member(
         self, member: MemberRecord
     ) -> Result[None, StoreFault]:
-        """Make a daemon known until its zone is saved."""
+        """Announce a daemon until its zone is saved."""
 
     async def save_zone(
         self,
@@ -156,9 +157,9 @@
         announced: Collection[VmId],
         gone: Collection[VmId],
     ) -> Result[None, StoreFault]:
-        """Replace what is kept of a zone's daemons.
+        """Replace the saved records of a zone.
 
-        :param announced: daemons that need no announcement any more.
+        :param announced: daemons whose announcements are no longer needed.
         :param gone: daemons whose own records are dropped.
         """
 
@@ -168,24 +169,24 @@
         *,
         forgotten: Collection[Fingerprint] = (),
     ) -> Result[None, StoreFault]:
-        """Keep what is blocked.
+        """Save the records of suspected requests.
 
-        :param forgotten: what need not be kept any more.
+        :param forgotten: requests whose records are no longer needed.
         """
 
     async def save_member(
         self, member: MemberRecord
     ) -> Result[None, StoreFault]:
-        """Keep the record of one daemon, beside that of its zone."""
+        """Save the record of one daemon, in addition to that of its zone."""
 
     async def close(self) -> None:
         """Close all connections."""
 
 
 class LeaveAnnouncement(Struct, frozen=True, kw_only=True):
-    """An upstream's word that it ends.
+    """The message of an upstream that it is leaving.
 
-    :param born: its start, Unix time in milliseconds; 0 if not told.
+    :param born: its start, Unix time in milliseconds; 0 if not announced.
     """
 
     instance: str
@@ -193,12 +194,12 @@
 
 
 class InvalidAnnouncement(Struct, frozen=True):
-    """Why a message of an upstream names none that could be used."""
+    """Why a message of an upstream is not a usable announcement."""
 
     reason: str
 
 
-#: Reads what an upstream sends to its daemon: method, target, body.
+#: Parses what an upstream sends to its daemon: method, target and body.
 AnnouncementParser = Callable[
     [bytes, bytes, bytes],
     Heartbeat | LeaveAnnouncement | InvalidAnnouncement,
--- a/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
+++ b/libs/sidecar/src/verbenamill_sidecar/reconciliation.py
@@ -1,8 +1,8 @@
-"""Anti-entropy: finds by digests what two daemons do not both know.
+"""Anti-entropy: reconciles what two daemons know by comparing digests.
 
-Rumors miss a daemon now and then, as while its link is cut. Two daemons
-compare digests of zones, then of parts of a zone, then the ages of the
-records in these parts, and send only the records that the other lacks.
+A rumor may miss a daemon, for example while its link is cut. Two daemons
+compare the digests of zones, then of buckets of a zone, then the revisions of
+the records in these buckets, and send only the records that the other lacks.
 """
 
 from collections.abc import Callable
@@ -21,42 +21,42 @@
 from verbenamill_policy.quarantine import Quarantine, Suspect
 from verbenamill_policy.rumors import Neighbours
 from verbenamill_sidecar.datagrams import (
-    Age,
     Ages,
     Digests,
+    RecordRevision,
     Records,
     Rumors,
     Summary,
     Wanted,
 )
+from verbenamill_sidecar.desired_state import DesiredState
 from verbenamill_sidecar.dissemination import (
     Send,
     pack_suspects,
     split_records,
 )
-from verbenamill_sidecar.desired_state import DesiredState
 
-#: Comparisons a second with each other zone together, of all daemons of a
-#: zone, in comparisons a round.
-FAR_COMPARISONS = 2
-#: Ages in one datagram; keeps it below the usual 1,400 bytes.
-_AGES = 32
-#: Records that are sent at a time at most, in answer to one datagram. What is
-#: missing beyond that is found by the next comparison.
-_MOST_RECORDS = 60
-#: Records and ages that are sent in answer between two own comparisons; a
-#: daemon that asks without end, or lies about what it knows, gets no more.
-ALLOWANCE = 600
-#: Blocked requests that are sent in answer to one digest, the newest ones.
-_MOST_SUSPECTS = 24
-#: Stages and verdicts of moves in one datagram.
-_MOVES = 8
+#: Mean number of comparisons with other zones that all daemons of a zone start
+#: together in one round, that is in one second.
+CROSS_ZONE_COMPARISONS = 2
+#: Record revisions in one datagram; keeps it below the usual 1,400 bytes.
+_REVISIONS_PER_DATAGRAM = 32
+#: Most records that are sent in reply to one datagram. The next comparison
+#: finds what is still missing.
+_MAX_RECORDS_PER_REPLY = 60
+#: Records and revisions that are sent in replies between two rounds. It limits
+#: what a daemon gets that asks without end or reports a false state.
+REPLY_ALLOWANCE = 600
+#: Most suspects that are sent in reply to one digest, the newest first.
+_MAX_SUSPECTS_PER_REPLY = 24
+#: Moves whose progress and verdicts one datagram carries.
+_MOVES_PER_DATAGRAM = 8
 
 
 class Reconciliation:
-    """Compares what this daemon knows with what others know.
+    """Compares the state of this daemon with that of others.
 
-    :param own: the own record.
+    :param own: returns the current record of this daemon.
     """
 
     def __init__(
@@ -75,24 +75,24 @@
         self._neighbours = neighbours
         self._desired_state = desired_state
         self._send = send
-        self._allowance = ALLOWANCE
+        self._allowance = REPLY_ALLOWANCE
 
     def next_round(self) -> None:
-        """Compare with one of the own zone; by chance, with another zone."""
-        self._allowance = ALLOWANCE
+        """Compare with a daemon of this zone and, by chance, of another."""
+        self._allowance = REPLY_ALLOWANCE
         for record in self._neighbours.pick_near(1):
             self._send(record, self.summarize())
         zones = self._neighbours.other_zones
-        if zones and self._neighbours.is_relay(share=FAR_COMPARISONS):
-            self.compare_far()
+        if zones and self._neighbours.is_relay(share=CROSS_ZONE_COMPARISONS):
+            self.compare_across_zones()
 
-    def compare_far(self) -> None:
-        """Compare with a daemon of a zone at random."""
+    def compare_across_zones(self) -> None:
+        """Compare with a daemon of a random other zone."""
         for record in self._neighbours.pick_any_far():
             self._send(record, self.summarize())
 
     def summarize(self, *, is_reply: bool = False) -> Summary:
-        """Digests of all that is known."""
+        """Build the digests of the whole state."""
         return Summary(
             sender=self._own().vm,
             zones=self._table.digests,
@@ -102,8 +102,8 @@
             blocked=self._quarantine.digest,
         )
 
-    def take_summary(self, message: Summary, sender: MemberRecord) -> None:
-        """Answer digests of zones with those of parts that differ."""
+    def handle_summary(self, message: Summary, sender: MemberRecord) -> None:
+        """Reply with the bucket digests of the zones that differ."""
         if not message.is_reply:
             self._send(sender, self.summarize(is_reply=True))
         if message.moves != _digest_moves(self._desired_state):
@@ -111,7 +111,7 @@
         if message.blocked != self._quarantine.digest:
             self._send_suspects(sender)
         if message.is_reply:
-            # The daemon that answered compares the zones.
+            # The sender of the reply compares the zones itself.
             return
         known = self._table.digests
         zones = {*known, *message.zones}
@@ -121,8 +121,8 @@
             buckets = self._table.bucket_digests(zone)
             self._send(sender, Digests(self._own().vm, zone, buckets))
 
-    def take_digests(self, message: Digests, sender: MemberRecord) -> None:
-        """Answer digests of parts with the ages of records in these."""
+    def handle_digests(self, message: Digests, sender: MemberRecord) -> None:
+        """Reply with the record revisions in the buckets that differ."""
         if len(message.buckets) != BUCKETS:
             return
         known = self._table.bucket_digests(message.zone)
@@ -131,96 +131,110 @@
             for bucket, digest in enumerate(message.buckets)
             if known[bucket] != digest
         ]
-        found_in = self._group_ages(message.zone, differing)
+        found_in = self._group_revisions(message.zone, differing)
         chunk: list[int] = []
-        ages: list[Age] = []
+        revisions: list[RecordRevision] = []
         for bucket, found in found_in.items():
-            if chunk and len(ages) + len(found) > _AGES:
-                self._send_ages(sender, message.zone, chunk, ages)
-                chunk, ages = [], []
+            if chunk and len(revisions) + len(found) > _REVISIONS_PER_DATAGRAM:
+                self._send_revisions(sender, message.zone, chunk, revisions)
+                chunk, revisions = [], []
             chunk.append(bucket)
-            ages.extend(found)
+            revisions.extend(found)
         if chunk:
-            self._send_ages(sender, message.zone, chunk, ages)
+            self._send_revisions(sender, message.zone, chunk, revisions)
 
-    def take_ages(self, message: Ages, sender: MemberRecord) -> None:
-        """Send what the other lacks, and ask for what is lacking here."""
-        told = {
-            age.vm: (age.incarnation, age.sequence) for age in message.known
+    def handle_ages(self, message: Ages, sender: MemberRecord) -> None:
+        """Send the newer records, and request those that are missing here."""
+        received = {
+            revision.vm: (revision.incarnation, revision.sequence)
+            for revision in message.known
         }
         records = self._table.in_buckets(message.zone, set(message.buckets))
         newer = [
             record
             for record in records
-            if record.vm not in told or record.revision > told[record.vm]
+            if record.vm not in received
+            or record.revision > received[record.vm]
         ]
         self._send_records(sender, newer)
         wanted = []
-        for age in message.known:
-            record = self._table.get(age.vm)
-            if record is None or record.revision < told[age.vm]:
-                wanted.append(age.vm)
+        for revision in message.known:
+            record = self._table.get(revision.vm)
+            if record is None or record.revision < received[revision.vm]:
+                wanted.append(revision.vm)
         if wanted:
-            self._send(sender, Wanted(self._own().vm, wanted[:_AGES]))
+            self._send(
+                sender, Wanted(self._own().vm, wanted[:_REVISIONS_PER_DATAGRAM])
+            )
 
-    def take_wanted(self, message: Wanted, sender: MemberRecord) -> None:
-        """Send the records that another daemon asks for."""
-        found = map(self._table.get, message.vms[:_AGES])
+    def handle_wanted(self, message: Wanted, sender: MemberRecord) -> None:
+        """Send the records that another daemon requests."""
+        found = map(self._table.get, message.vms[:_REVISIONS_PER_DATAGRAM])
         self._send_records(
             sender,
             [record for record in found if record is not None],
         )
 
-    def _group_ages(
+    def _group_revisions(
         self,
         zone: AvailabilityZone,
         buckets: list[int],
-    ) -> dict[int, list[Age]]:
-        groups: dict[int, list[Age]] = {bucket: [] for bucket in buckets}
+    ) -> dict[int, list[RecordRevision]]:
+        groups: dict[int, list[RecordRevision]] = {
+            bucket: [] for bucket in buckets
+        }
         for record in self._table.in_buckets(zone, groups.keys()):
-            age = Age(record.vm, record.incarnation, record.sequence)
-            groups[bucket_of(record.vm)].append(age)
+            revision = RecordRevision(
+                record.vm, record.incarnation, record.sequence
+            )
+            groups[bucket_of(record.vm)].append(revision)
         return groups
 
-    def _allow(self, count: int) -> int:
-        """How many of some records or ages may be sent."""
+    def _spend_allowance(self, count: int) -> int:
+        """Reserve part of the allowance; returns what may be sent."""
         allowed = min(count, self._allowance)
         self._allowance -= allowed
         return allowed
 
-    def _send_ages(
+    def _send_revisions(
         self,
         to: MemberRecord,
         zone: AvailabilityZone,
         buckets: list[int],
-        ages: list[Age],
+        revisions: list[RecordRevision],
     ) -> None:
-        if self._allow(len(ages) + 1) > len(ages):
-            self._send(to, Ages(self._own().vm, zone, buckets, ages))
+        if self._spend_allowance(len(revisions) + 1) > len(revisions):
+            self._send(to, Ages(self._own().vm, zone, buckets, revisions))
 
     def _send_records(
         self,
         to: MemberRecord,
         records: list[MemberRecord],
     ) -> None:
-        allowed = self._allow(min(len(records), _MOST_RECORDS))
+        allowed = self._spend_allowance(
+            min(len(records), _MAX_RECORDS_PER_REPLY)
+        )
         for chunk in split_records(records[:allowed]):
             self._send(to, Records(self._own().vm, chunk))
 
     def _send_suspects(self, to: MemberRecord) -> None:
-        """Send what is blocked, and what was cleared since it was."""
+        """Send the blocked requests and those that were cleared again."""
         known = [one for one in self._quarantine if one.is_blocked or one.round]
         known.sort(key=_newest_first)
-        allowed = self._allow(min(len(known), _MOST_SUSPECTS))
+        allowed = self._spend_allowance(
+            min(len(known), _MAX_SUSPECTS_PER_REPLY)
+        )
         for message in pack_suspects(known[:allowed]):
             self._send(to, message)
 
     def _send_moves(self, to: MemberRecord) -> None:
-        known = self._desired_state.known
+        known = self._desired_state.snapshot
         progress = list(known.progress.values())
         settled = list(known.settled.values())
-        for start in range(0, max(len(progress), len(settled)), _MOVES):
-            end = start + _MOVES
+        for start in range(
+            0, max(len(progress), len(settled)), _MOVES_PER_DATAGRAM
+        ):
+            end = start + _MOVES_PER_DATAGRAM
             self._send(
                 to,
                 Rumors([], progress[start:end], settled[start:end]),
@@ -232,14 +246,14 @@
 
 
 def _digest_moves(desired_state: DesiredState) -> int:
-    """Digest of stages and verdicts, without the ages of moves."""
-    found = 0
-    for progress in desired_state.known.progress.values():
-        found ^= _digest(msgspec.structs.replace(progress, age=0))
-    for settled in desired_state.known.settled.values():
-        found ^= _digest(settled)
-    return found
+    """Digest of progress and verdicts; the ages of moves are left out."""
+    digest = 0
+    for progress in desired_state.snapshot.progress.values():
+        digest ^= _checksum(msgspec.structs.replace(progress, age=0))
+    for settled in desired_state.snapshot.settled.values():
+        digest ^= _checksum(settled)
+    return digest
 
 
-def _digest(told: Struct) -> int:
-    return crc32(msgspec.msgpack.encode(told))
+def _checksum(record: Struct) -> int:
+    return crc32(msgspec.msgpack.encode(record))
--- a/libs/sidecar/src/verbenamill_sidecar/registration.py
+++ b/libs/sidecar/src/verbenamill_sidecar/registration.py
@@ -1,4 +1,4 @@
-"""Keeping in the store what must last, and finding it there after a start."""
+"""Reads the members from the store at a start, and saves them there."""
 
 from collections.abc import Callable
 from random import Random
@@ -10,40 +10,43 @@
 from verbenamill_policy.members import MemberRecord, MemberTable
 from verbenamill_policy.quarantine import Quarantine
 from verbenamill_sidecar.distribution import DistributionTree
-from verbenamill_sidecar.gossip import GREETED_FIRST, Gossip
+from verbenamill_sidecar.gossip import FIRST_START_GREETED_PEERS, Gossip
 from verbenamill_sidecar.protocol import Store
 from verbenamill_sidecar.quarantine_store import QuarantineStore
 
-#: Pause before the store is asked again after a call that failed, or while
-#: nobody is known, in seconds; and the longest, as it doubles.
-_LOOK_SOON = 0.4
-_LOOK_LATE = 3.0
-#: How often a reader looks for members that neither side has ever heard of,
-#: in seconds. Gossip carries all other news.
-_LOOK_AGAIN = 120.0
-#: Shortest and longest wait for a greeting at the first start of the whole
-#: fleet, in seconds. Who is greeted need not read.
-_FIRST_WAIT = 0.3
-_FIRST_SPREAD = 0.7
-#: How long after reading a daemon waits for a sign of life before it makes
-#: itself known in the store, in seconds.
-_ALONE_AFTER = 1.5
-#: Least time between two writes of the zone's members, in seconds.
+#: Pause after a failed call to the store, or while no other daemon is known,
+#: in seconds. It doubles up to the maximum.
+_MIN_RETRY_PAUSE = 0.4
+_MAX_RETRY_PAUSE = 3.0
+#: Mean interval at which a reader looks for members that neither side has ever
+#: heard of, in seconds. Gossip carries all other changes.
+_RESCAN_PERIOD = 120.0
+#: Shortest wait for a greeting at the first start of the whole fleet, in
+#: seconds. A daemon that is greeted need not read the store.
+_MIN_GREETING_WAIT = 0.3
+#: Largest random time that is added to this wait, in seconds.
+_GREETING_WAIT_JITTER = 0.7
+#: How long a daemon that has read the members waits to hear from one of them
+#: before it announces itself in the store, in seconds.
+_ISOLATION_TIMEOUT = 1.5
+#: Shortest interval between two writes of the zone's members, in seconds.
 _SAVE_PERIOD = 8.0
-_SAVE_STEP = 0.5
+#: Interval between checks for changes to save, in seconds.
+_SAVE_CHECK_PERIOD = 0.5
 
 
 class Registrar:
-    """Finds members in the store, and writes there what must last.
+    """Finds members in the store and saves there what must survive a restart.
 
-    The reader of each zone saves the records of its zone together, some
-    seconds late. A daemon writes by itself only that its upstream leaves:
-    after all daemons were killed at once nobody else remembers that, and no
-    start of this daemon may send the upstream new work.
+    The daemon that represents a zone saves all records of the zone together,
+    some seconds after a change. A daemon writes its own record only when its
+    upstream leaves: if all daemons are killed at once, no other daemon
+    remembers this, and the restarted daemon must not send the upstream new
+    work.
 
-    :param is_lost: whether the store gives no answers.
-    :param quarantine: requests under which upstreams crashed.
-    :param found_nobody: told at a start when the store names no other daemon.
+    :param is_store_lost: whether the store does not answer.
+    :param on_no_members: called at a start if the store names no other daemon.
+    :param quarantine: the requests under which upstreams crashed.
     """
 
     def __init__(
@@ -54,196 +57,202 @@
         table: MemberTable,
         random: Random,
         *,
-        is_lost: Callable[[], bool],
-        found_nobody: Callable[[], None],
+        is_store_lost: Callable[[], bool],
+        on_no_members: Callable[[], None],
         quarantine: Quarantine,
     ) -> None:
-        self._memory = QuarantineStore(store, quarantine)
-        self._found_nobody = found_nobody
-        self._is_lost = is_lost
+        self._quarantine_memory = QuarantineMemory(store, quarantine)
+        self._on_no_members = on_no_members
+        self._is_store_lost = is_store_lost
         self._table = table
         self._tree = tree
         self._store = store
         self._gossip = gossip
         self._random = random
-        self._written: MemberRecord | None = None
-        self._wanted = trio.Event()
-        self._done = trio.Event()
-        self._has_read = False
+        self._written_record: MemberRecord | None = None
+        self._write_requested = trio.Event()
+        self._write_done = trio.Event()
+        self._has_read_members = False
         self._saved_digest: int | None = None
-        self._announced: set[VmId] = set()
-        self._gone: set[VmId] = set()
+        self._saved_vms: set[VmId] = set()
+        self._departed: set[VmId] = set()
 
     async def flush(self, timeout: float) -> bool:
-        """Wait until the store has that the upstream leaves.
+        """Wait until the store holds the current state of the upstream.
 
         :param timeout: longest wait, in seconds.
+        :returns: whether the store holds it.
         """
-        self.request()
+        self.request_write()
         with trio.move_on_after(timeout):
-            await self._done.wait()
+            await self._write_done.wait()
         return self._is_written()
 
-    def request(self) -> None:
-        """Have the own record written, unless the store has it."""
+    def request_write(self) -> None:
+        """Request a write of the own record, unless the store holds it."""
         if self._is_written():
             return
-        if self._done.is_set():
-            self._done = trio.Event()
-        self._wanted.set()
+        if self._write_done.is_set():
+            self._write_done = trio.Event()
+        self._write_requested.set()
 
     async def run(self, *, is_first_start: bool) -> None:
-        """Look for others and write until cancelled.
+        """Discover members and write changes until cancelled.
 
         :param is_first_start: whether the whole fleet starts for the first
-            time, so that there is nothing to read yet.
+            time, so that the store holds no members yet.
         """
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._look, is_first_start)
-            nursery.start_soon(self._save)
+            nursery.start_soon(self._discover_members, is_first_start)
+            nursery.start_soon(self._save_zone_changes)
             nursery.start_soon(self._save_suspects)
-            pause = _LOOK_SOON
+            pause = _MIN_RETRY_PAUSE
             while True:
-                await self._wanted.wait()
-                # The record of the process before is read first: the write
-                # replaces what it says of the upstream.
-                if self._has_read and await self._write():
-                    pause = _LOOK_SOON
+                await self._write_requested.wait()
+                # The record of the previous process is read before the write,
+                # which replaces what that record says of the upstream.
+                if self._has_read_members and await self._write_own_record():
+                    pause = _MIN_RETRY_PAUSE
                     continue
                 await trio.sleep(pause * self._random.random())
-                pause = min(pause * 2, _LOOK_LATE)
+                pause = min(pause * 2, _MAX_RETRY_PAUSE)
 
-    async def take_leave(self, timeout: float) -> None:
-        """Leave in the store what the next start needs.
+    async def save_before_exit(self, timeout: float) -> None:
+        """Save what the next start needs.
 
-        A daemon that is only started again finds its upstream by what others
-        remember, or by the store. Alone in its zone, it saves that now. If
-        the upstream goes as well, the record says so: the one of the zone is
-        older, and names an upstream that is ready.
+        A daemon that is only restarted learns its upstream from other daemons
+        or from the store. If it is the only one of its zone, it saves the zone
+        now. If the upstream leaves too, the daemon writes its own record,
+        because the saved zone is older and names an upstream that is ready.
         """
         with trio.move_on_after(timeout):
-            if not _has_gone(self._gossip.own):
+            if not _has_left_for_good(self._gossip.own):
                 if self._is_alone():
                     await self._save_zone()
             elif not self._is_written():
-                await self._write()
+                await self._write_own_record()
 
-    async def _look(self, is_first_start: bool) -> None:
+    async def _discover_members(self, is_first_start: bool) -> None:
         if not is_first_start:
             await self._find_members()
-        if self._gossip.has_others:
-            await self._wait_heard(_ALONE_AFTER)
-        if not self._gossip.has_heard.is_set():
-            await self._become_known()
-        self._has_read = True
+        if self._gossip.knows_peers:
+            await self._wait_for_peer(_ISOLATION_TIMEOUT)
+        if not self._gossip.peer_heard.is_set():
+            await self._announce_until_greeted()
+        self._has_read_members = True
         while True:
-            await trio.sleep(_LOOK_AGAIN * (0.5 + self._random.random()))
-            if self._tree.is_reader and not self._is_lost():
+            await trio.sleep(_RESCAN_PERIOD * (0.5 + self._random.random()))
+            if self._tree.is_reader and not self._is_store_lost():
                 await self._read_members(spread=True)
 
     async def _find_members(self) -> None:
-        """Read who is there, and what they remember of the own upstream."""
-        pause = _LOOK_SOON
+        """Read the members until the store answers, then greet some."""
+        pause = _MIN_RETRY_PAUSE
         while not await self._read_members(spread=False):
             await trio.sleep(pause * (0.5 + self._random.random()))
-            if self._gossip.has_others:
-                # Others found this daemon, and told what they remember.
-                pause = min(pause * 2, _LOOK_LATE)
-        if self._gossip.has_others:
+            if self._gossip.knows_peers:
+                # Other daemons have found this one and sent their state, so
+                # the read is less urgent.
+                pause = min(pause * 2, _MAX_RETRY_PAUSE)
+        if self._gossip.knows_peers:
             self._gossip.greet()
         else:
-            self._found_nobody()
+            self._on_no_members()
 
-    async def _become_known(self) -> None:
-        """Announce this daemon in the store, and wait for a greeting.
+    async def _announce_until_greeted(self) -> None:
+        """Announce this daemon in the store until another one greets it.
 
-        When many start together, the first of a zone that read find those
-        that have announced themselves, and greet them; these need not read.
+        When many daemons start together, the first of a zone to read the store
+        find those that have announced themselves and greet them, so that these
+        need not read.
         """
-        pause = _FIRST_WAIT + _FIRST_SPREAD * self._random.random()
+        pause = (
+            _MIN_GREETING_WAIT + _GREETING_WAIT_JITTER * self._random.random()
+        )
         is_announced = False
-        while not self._gossip.has_heard.is_set():
+        while not self._gossip.peer_heard.is_set():
             if not is_announced:
                 own = self._gossip.own
                 result = await self._store.announce_member(own)
                 is_announced = isinstance(result, Success)
-            await self._wait_heard(pause)
-            if not self._gossip.has_heard.is_set():
+            await self._wait_for_peer(pause)
+            if not self._gossip.peer_heard.is_set():
                 await self._read_members(spread=False)
-                self._gossip.greet(count=GREETED_FIRST)
-                pause = min(pause * 2, _LOOK_AGAIN)
+                self._gossip.greet(count=FIRST_START_GREETED_PEERS)
+                pause = min(pause * 2, _RESCAN_PERIOD)
         self._gossip.greet()
 
-    async def _wait_heard(self, timeout: float) -> None:
+    async def _wait_for_peer(self, timeout: float) -> None:
         with trio.move_on_after(timeout):
-            await self._gossip.has_heard.wait()
+            await self._gossip.peer_heard.wait()
 
     async def _read_members(self, *, spread: bool) -> bool:
         found = await self._store.read_saved_state()
         if not isinstance(found, Success):
             return False
-        remembered = found.unwrap()
-        self._gossip.take_members(remembered.members, spread=spread)
-        self._memory.mark_saved(remembered.suspects)
-        self._gossip.take_suspects(remembered.suspects)
-        self._has_read = True
+        saved_state = found.unwrap()
+        self._gossip.merge_members(saved_state.members, spread=spread)
+        self._quarantine_memory.note_saved(saved_state.suspects)
+        self._gossip.merge_suspects(saved_state.suspects)
+        self._has_read_members = True
         return True
 
-    async def _save(self) -> None:
-        """Write the members of the own zone whenever they have changed."""
+    async def _save_zone_changes(self) -> None:
+        """Save the members of the own zone after each change."""
         while True:
-            await trio.sleep(_SAVE_STEP)
-            is_due = self._tree.is_head and not self._is_lost()
+            await trio.sleep(_SAVE_CHECK_PERIOD)
+            is_due = self._tree.represents_zone and not self._is_store_lost()
             if is_due and self._zone_digest() != self._saved_digest:
                 await self._save_zone()
-                await trio.sleep(_SAVE_PERIOD - _SAVE_STEP)
+                await trio.sleep(_SAVE_PERIOD - _SAVE_CHECK_PERIOD)
 
     async def _save_suspects(self) -> None:
-        """Write what is blocked whenever that has changed."""
+        """Save the blocked requests after each change."""
         while True:
-            await trio.sleep(_SAVE_STEP)
-            if self._tree.is_head and not self._is_lost():
-                await self._memory.save()
+            await trio.sleep(_SAVE_CHECK_PERIOD)
+            if self._tree.represents_zone and not self._is_store_lost():
+                await self._quarantine_memory.save()
 
     async def _save_zone(self) -> None:
         zone = self._gossip.own.availability_zone
         digest = self._zone_digest()
         members = self._table.in_zone(zone)
         known = {member.vm for member in members}
-        gone = {member.vm for member in members if _has_gone(member)}
+        gone = {member.vm for member in members if _has_left_for_good(member)}
         saved = await self._store.save_zone(
             zone,
             [member for member in members if member.vm not in gone],
-            announced=known - self._announced,
-            # A start that comes soon still needs what these have written.
-            gone=gone & self._gone,
+            announced=known - self._saved_vms,
+            # The records that these daemons wrote themselves are kept for one
+            # more save, because a start that follows soon still needs them.
+            gone=gone & self._departed,
         )
         if isinstance(saved, Success):
             self._saved_digest = digest
-            self._announced |= known
-            self._gone = gone
+            self._saved_vms |= known
+            self._departed = gone
 
     def _zone_digest(self) -> int | None:
         return self._table.digests.get(self._gossip.own.availability_zone)
 
     def _is_alone(self) -> bool:
-        """Whether no other daemon of the zone remembers this one."""
+        """Whether no other daemon of the zone is known."""
         zone = self._gossip.own.availability_zone
         return len(self._table.in_zone(zone)) == 1
 
-    async def _write(self) -> bool:
+    async def _write_own_record(self) -> bool:
         own = self._gossip.own
         result = await self._store.save_member(own)
         if not isinstance(result, Success):
             return False
-        self._written = own
+        self._written_record = own
         if self._is_written():
-            self._wanted = trio.Event()
-            self._done.set()
+            self._write_requested = trio.Event()
+            self._write_done.set()
         return True
 
     def _is_written(self) -> bool:
-        written = self._written
+        written = self._written_record
         own = self._gossip.own
         return (
             written is not None
@@ -252,8 +261,8 @@
         )
 
 
-def _has_gone(member: MemberRecord) -> bool:
-    """Whether neither the daemon nor its upstream comes back."""
+def _has_left_for_good(member: MemberRecord) -> bool:
+    """Whether neither the daemon nor its upstream will come back."""
     upstream = member.upstream
     return member.leaving and (
         upstream is None or upstream.state is UpstreamState.GONE
--- a/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
+++ b/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
@@ -1,4 +1,8 @@
-"""Moves between versions: counts go to a decider, its word to everyone."""
+"""Controls moves of a service between versions, on the daemon that decides.
+
+Owners send their tallies to one decider per move, which publishes the progress
+and the verdict to all daemons.
+"""
 
 from collections.abc import Callable
 from zlib import crc32
@@ -8,8 +12,8 @@
 from returns.result import Failure, Success
 
 from verbenamill_model.typing import ServiceName, VmId
-from verbenamill_policy.move_decision import Decision, MoveContext, decide
 from verbenamill_policy.evidence import Evidence
+from verbenamill_policy.move_decision import Decision, MoveContext, decide
 from verbenamill_policy.rollouts import (
     Order,
     Progress,
@@ -17,51 +21,58 @@
     Verdict,
 )
 from verbenamill_policy.tallies import Tally
-from verbenamill_sidecar.gossip import Gossip
 from verbenamill_sidecar.desired_state import DesiredState
-from verbenamill_sidecar.local_upstream import LocalUpstream
+from verbenamill_sidecar.gossip import Gossip
+from verbenamill_sidecar.owner import OwnUpstream
 from verbenamill_sidecar.peers import Peer, Peers
 from verbenamill_sidecar.protocol import ReportedVerdicts, Store
 from verbenamill_telemetry import Event, log
 
-#: How often moves are looked at, in seconds.
-STEP = 0.1
-#: How often owners send their counts, in seconds.
+#: Interval between decisions on each running move, in seconds.
+STEP_PERIOD = 0.1
+#: Interval at which an owner sends its tally to the decider, in seconds.
 REPORT_PERIOD = 0.2
 #: Pause after a verdict could not be written, in seconds.
-_PAUSE = 0.3
-#: Counts of an owner that was not heard of for this long are not waited
-#: for, in seconds.
-_OLD = 2.0
+_WRITE_RETRY_PAUSE = 0.3
+#: Age after which the tally of a silent owner is not waited for, in seconds.
+_TALLY_MAX_AGE = 2.0
 
 
-class _Move:
-    """One move as its decider follows it."""
+class _TrackedMove:
+    """The state that the decider keeps of one move.
+
+    :ivar stage_started_at: when the current stage began, on trio's clock.
+    :ivar is_announced: whether this daemon has begun to decide on the move and
+        to report it as running.
+    :ivar is_confirmed: whether the store holds that report.
+    """
 
     def __init__(self, order: Order, now: float) -> None:
         self.order = order
-        self.begun_at = now
+        self.started_at = now
         self.stage = 0
-        self.stage_at = now
+        self.stage_started_at = now
         self.evidence = Evidence(order.target)
         self.is_announced = False
         self.is_confirmed = False
         self.verdict: Verdict | None = None
 
 
-class Counted(Struct):
-    """The newest counts of one owner, and when they came."""
+class ReceivedTally(Struct):
+    """The newest tally of one owner, and when it arrived on trio's clock."""
 
     tally: Tally
-    at: float
+    received_at: float
 
 
-class Moving:
-    """Decides on moves, where this daemon is the one to decide.
+class RolloutController:
+    """Decides on the moves that this daemon is the decider of.
 
-    :param has_verdicts: whether the store has told which moves are settled.
-        A daemon that was restarted and decides before it knows could take
-        back a version that is the only one left.
+    :param own_vm: VM of this daemon.
+    :param own: the upstream of this daemon.
+    :param has_verdicts: whether the verdicts of the store have been read. A
+        restarted daemon that decides without them could take back the only
+        version that is left.
     """
 
     def __init__(
@@ -76,35 +87,37 @@
     ) -> None:
         self._has_verdicts = has_verdicts
         self._own_vm = own_vm
-        self._own = own
+        self._own_upstream = own
         self._store = store
         self._desired_state = desired_state
         self._peers = peers
         self._gossip: Gossip | None = None
-        self._moves: dict[int, _Move] = {}
-        self._counted: dict[VmId, Counted] = {}
+        self._moves: dict[int, _TrackedMove] = {}
+        self._received_tallies: dict[VmId, ReceivedTally] = {}
         self._reported_at = float('-inf')
 
-    def take_tally(self, tally: Tally) -> None:
-        """Take in the counts of an owner."""
-        self._counted[tally.vm] = Counted(tally, trio.current_time())
+    def record_tally(self, tally: Tally) -> None:
+        """Store the tally of an owner."""
+        self._received_tallies[tally.vm] = ReceivedTally(
+            tally, trio.current_time()
+        )
 
     async def run(self, gossip: Gossip) -> None:
-        """Look after moves until cancelled."""
+        """Step all running moves until cancelled."""
         self._gossip = gossip
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(STEP)
-                for order in self._desired_state.running():
+                await trio.sleep(STEP_PERIOD)
+                for order in self._desired_state.running_orders():
                     self._step(order, nursery)
 
     def _step(self, order: Order, nursery: trio.Nursery) -> None:
         now = trio.current_time()
-        move = self._moves.setdefault(order.id, _Move(order, now))
+        move = self._moves.setdefault(order.id, _TrackedMove(order, now))
         known = self._desired_state.progress_of(order)
-        move.begun_at = min(move.begun_at, now - known.age)
+        move.started_at = min(move.started_at, now - known.age)
         decider = self._find_decider(order, now)
-        self._report(order, decider, now)
+        self._send_tally(order, decider, now)
         if decider is None or not self._peers.is_own(decider):
             move.is_announced = False
             move.is_confirmed = False
@@ -113,30 +126,30 @@
             return
         if known.stage != move.stage:
             move.stage = known.stage
-            move.stage_at = now
+            move.stage_started_at = now
         if not move.is_announced:
             move.is_announced = True
-            nursery.start_soon(self._announce, move)
+            nursery.start_soon(self._report_running, move)
         move.evidence.update(self._tallies_of(order.service))
         if not move.is_confirmed and not self._has_verdicts():
             return
         if known.vetoed:
             decision = Decision(stage=known.stage, veto='vetoed before')
         else:
-            decision = decide(self._situation(move, known, now))
+            decision = decide(self._build_context(move, known, now))
         self._act(move, known, decision, now, nursery)
 
-    def _situation(
+    def _build_context(
         self,
-        move: _Move,
+        move: _TrackedMove,
         known: Progress,
         now: float,
     ) -> MoveContext:
         order = move.order
         return MoveContext(
             window=order.window,
-            elapsed=now - move.begun_at,
-            time_in_stage=now - move.stage_at,
+            elapsed=now - move.started_at,
+            time_in_stage=now - move.stage_started_at,
             progress=known,
             target_ready=any(
                 peer.upstream is not None
@@ -149,7 +162,7 @@
 
     def _act(
         self,
-        move: _Move,
+        move: _TrackedMove,
         known: Progress,
         decision: Decision,
         now: float,
@@ -159,13 +172,13 @@
         vetoed = bool(decision.veto)
         if vetoed or decision.stage != known.stage:
             assert self._gossip is not None
-            self._gossip.tell_progress(
+            self._gossip.publish_progress(
                 Progress(
                     service=order.service,
                     order=order.id,
                     stage=decision.stage,
                     vetoed=vetoed,
-                    age=now - move.begun_at,
+                    age=now - move.started_at,
                 ),
             )
         if vetoed:
@@ -182,13 +195,14 @@
         elif decision.done:
             move.verdict = Verdict.DONE
         if move.verdict is not None:
-            nursery.start_soon(self._settle, move, move.verdict)
+            nursery.start_soon(self._report_verdict, move, move.verdict)
 
     def _find_decider(self, order: Order, now: float) -> Peer | None:
-        """One daemon decides on a move; all agree on which.
+        """Choose the one daemon that decides on a move.
 
-        Where they do not, as behind a partition, two decide: stages merge,
-        a veto wins, and the store takes one verdict only.
+        All daemons choose the same one. If they do not, for example during a
+        partition, two daemons decide: stages merge, a veto wins, and the store
+        accepts only one verdict.
         """
         candidates = [
             peer
@@ -202,54 +216,60 @@
             key=lambda peer: crc32(f'{peer.record.vm}/{order.id}'.encode()),
         )
 
-    def _report(self, order: Order, decider: Peer | None, now: float) -> None:
-        upstream = self._own.register.current
+    def _send_tally(
+        self, order: Order, decider: Peer | None, now: float
+    ) -> None:
+        upstream = self._own_upstream.register.current
         if upstream is None or upstream.service != order.service:
             return
         if now - self._reported_at < REPORT_PERIOD:
             return
         self._reported_at = now
-        tally = self._own.counts.tally(
+        tally = self._own_upstream.counts.tally(
             self._own_vm,
             upstream.service,
             upstream.version,
         )
         if decider is None or self._peers.is_own(decider):
-            self.take_tally(tally)
+            self.record_tally(tally)
         elif self._gossip is not None:
             self._gossip.send_tally(decider, tally)
 
     def _tallies_of(self, service: ServiceName) -> list[Tally]:
         return [
-            counted.tally
-            for counted in self._counted.values()
-            if counted.tally.service == service
+            received.tally
+            for received in self._received_tallies.values()
+            if received.tally.service == service
         ]
 
-    async def _announce(self, move: _Move) -> None:
-        """Tell the operator that the move runs, if nothing was told yet."""
-        while move.is_announced and not await self._write(
+    async def _report_running(self, move: _TrackedMove) -> None:
+        """Report the move as running, unless the store holds a report."""
+        while move.is_announced and not await self._write_verdict(
             move,
             Verdict.RUNNING,
         ):
-            await trio.sleep(_PAUSE)
+            await trio.sleep(_WRITE_RETRY_PAUSE)
         move.is_confirmed = move.is_announced
 
-    async def _settle(self, move: _Move, verdict: Verdict) -> None:
-        """Tell the operator a verdict, until it or another one is there."""
-        while not await self._write(move, verdict):
-            await trio.sleep(_PAUSE)
+    async def _report_verdict(
+        self, move: _TrackedMove, verdict: Verdict
+    ) -> None:
+        """Report a verdict until the store holds this or another one."""
+        while not await self._write_verdict(move, verdict):
+            await trio.sleep(_WRITE_RETRY_PAUSE)
 
-    async def _write(self, move: _Move, verdict: Verdict) -> bool:
-        """Write to the store under the condition that nobody else has.
+    async def _write_verdict(
+        self, move: _TrackedMove, verdict: Verdict
+    ) -> bool:
+        """Write a verdict on the condition that nobody has written since.
 
-        Two deciders, or one that woke from a pause, may both think that it
-        is theirs to decide. The first verdict counts; the other write is
-        refused and its decider takes over what stands there.
+        Two daemons may both consider themselves the decider, for example after
+        one was paused. The first verdict counts; the store rejects the other
+        write, and its decider adopts the stored verdict.
         """
         match await self._store.read_verdicts():
-            case Success(settlements):
-                known = settlements
+            case Success(reported):
+                known = reported
             case Failure(_):
                 return False
         if self._is_final(move.order, known):
@@ -267,7 +287,7 @@
         )
         match await self._store.record_verdict(settled, end=known.end):
             case Success(_):
-                self._take_settled(settled)
+                self._publish_verdict(settled)
                 return True
             case Failure(fault):
                 log(
@@ -279,16 +299,16 @@
                 return False
         raise AssertionError('a result is a success or a failure')
 
-    def _take_settled(self, settled: SettledOrder) -> None:
+    def _publish_verdict(self, settled: SettledOrder) -> None:
         assert self._gossip is not None
-        self._gossip.tell_settled(settled)
+        self._gossip.publish_verdict(settled)
 
     def _is_final(self, order: Order, known: ReportedVerdicts) -> bool:
-        """Whether the operator was told a verdict on this or a later order."""
+        """Whether the store holds a verdict on this or a later order."""
         found = known.settled.get(order.service)
         if found is None or found.order < order.id:
             return False
-        self._take_settled(found)
+        self._publish_verdict(found)
         if found.order > order.id:
             return True
         return found.verdict is not Verdict.RUNNING
--- a/libs/sidecar/src/verbenamill_sidecar/settings.py
+++ b/libs/sidecar/src/verbenamill_sidecar/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon, read from TOML and checked whole."""
+"""Settings of the daemon, read from TOML and validated as a whole."""
 
 import tomllib
 from collections.abc import Mapping
@@ -23,9 +23,9 @@
 
 
 class VmSettings(Struct, frozen=True, kw_only=True):
-    """Who this daemon is.
+    """Identity of this daemon.
 
-    :param service: of the upstream beside it.
+    :param service: service of the upstream beside this daemon.
     """
 
     id: Annotated[VmId, Name]
@@ -34,13 +34,13 @@
 
 
 class ListenSettings(Struct, frozen=True, kw_only=True):
-    """Where the daemon listens.
+    """Addresses that the daemon listens on.
 
-    :param callers: requests of callers on this VM and of the upstream.
-    :param daemons: requests that other daemons pass on.
-    :param gossip: datagrams of other daemons.
-    :param announcements: heartbeats of the own upstream.
-    :param health: whether callers may be sent here; also the metrics.
+    :param callers: for requests of callers on this VM and of the upstream.
+    :param daemons: for requests that other daemons forward.
+    :param gossip: for datagrams of other daemons.
+    :param announcements: for heartbeats of the upstream beside this daemon.
+    :param health: for readiness checks and metrics.
     """
 
     callers: Annotated[str, OneAddress]
@@ -51,10 +51,10 @@
 
 
 class AdvertiseSettings(Struct, frozen=True, kw_only=True):
-    """Where other daemons reach this one, if not where it listens.
+    """Addresses at which other daemons reach this one.
 
-    :param daemons: for requests that they pass on; empty: as listened on.
-    :param gossip: for datagrams; empty: as listened on.
+    :param daemons: for forwarded requests; empty for the listen address.
+    :param gossip: for datagrams; empty for the listen address.
     """
 
     daemons: Annotated[str, OneAddress] = ''
@@ -62,45 +62,45 @@
 
 
 class UpstreamSettings(Struct, frozen=True, kw_only=True):
-    """Where the own upstream listens."""
+    """Address of the upstream beside this daemon."""
 
     address: Annotated[str, OneAddress]
 
 
 class StoreSettings(Struct, frozen=True, kw_only=True):
-    """Where the platform's store is."""
+    """Address of the platform's store."""
 
     address: Annotated[str, OneAddress]
 
 
 class StopSettings(Struct, frozen=True, kw_only=True):
-    """Time for a graceful stop.
+    """Time limit of a graceful stop.
 
-    :param grace: from the signal until the process is killed, in ms.
+    :param grace: time from the signal until the process is killed, in ms.
     """
 
     grace: Annotated[int, as_integer(1000, 600_000)] = 6000
 
 
 class StartSettings(Struct, frozen=True, kw_only=True):
-    """What is known of this start.
+    """What the operator states about this start.
 
     :param first: whether the whole fleet starts for the first time, so that
-        the store has nothing of it yet.
+        the store holds no state of it yet.
     """
 
     first: Annotated[bool, Flag] = False
 
 
 class LoggingSettings(Struct, frozen=True, kw_only=True):
-    """How events are written."""
+    """Level and format of the log."""
 
     level: Annotated[LogLevel, as_choice(LogLevel)] = LogLevel.INFO
     format: Annotated[LogFormat, as_choice(LogFormat)] = LogFormat.JSON
 
 
 class Settings(Struct, frozen=True, kw_only=True):
-    """All settings; one field a section of the file."""
+    """All settings; each field is a section of the file."""
 
     vm: VmSettings
     listen: ListenSettings
@@ -113,14 +113,14 @@
 
     @property
     def upstream_address(self) -> Address:
-        """Where the own upstream listens."""
+        """Address of the upstream beside this daemon."""
         return parse_address(self.upstream.address)
 
 
 def load_settings(path: Path) -> Result[Settings, tuple[str, ...]]:
     """Read a settings file.
 
-    :returns: the settings, or every fault as one line.
+    :returns: the settings, or one line per error.
     """
     try:
         text = path.read_text(encoding='utf-8')
@@ -130,7 +130,7 @@
 
 
 def check_settings(text: str) -> Result[Settings, tuple[str, ...]]:
-    """Check the text of a settings file whole."""
+    """Validate the whole text of a settings file."""
     try:
         document: Mapping[str, Any] = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
--- a/libs/sidecar/src/verbenamill_sidecar/signals.py
+++ b/libs/sidecar/src/verbenamill_sidecar/signals.py
@@ -1,4 +1,4 @@
-"""Signals to the daemon."""
+"""Handles the signals that the daemon receives."""
 
 import signal
 from pathlib import Path
@@ -16,10 +16,10 @@
     *,
     task_status: trio.TaskStatus[None],
 ) -> None:
-    """Set an event at SIGTERM or SIGINT; read the settings at SIGHUP.
+    """Request a stop at SIGTERM or SIGINT; check the settings at SIGHUP.
 
-    :param stopping: set when the daemon is to stop.
-    :param path: settings file.
+    :param stopping: set when the daemon has to stop.
+    :param path: the settings file.
     """
     with trio.open_signal_receiver(
         signal.SIGTERM,
@@ -29,13 +29,13 @@
         task_status.started()
         async for number in received:
             if number == signal.SIGHUP:
-                _check_again(path)
+                _log_settings_check(path)
             else:
                 stopping.set()
 
 
-def _check_again(path: Path) -> None:
-    """Say what a changed settings file would do at the next start."""
+def _log_settings_check(path: Path) -> None:
+    """Log whether the daemon could start with the current settings file."""
     match load_settings(path):
         case Success(_):
             log(Event.SETTINGS_RELOADED, outcome='no fault')
--- a/libs/sidecar/src/verbenamill_sidecar/snapshot_client.py
+++ b/libs/sidecar/src/verbenamill_sidecar/snapshot_client.py
@@ -1,4 +1,4 @@
-"""Asking another daemon for all that it knows of the operators' wishes."""
+"""Fetches the whole desired state from another daemon."""
 
 from verbenamill_http.client import (
     ClientResponse,
@@ -6,15 +6,18 @@
     ExchangeFailure,
 )
 from verbenamill_http.messages import EMPTY_BODY, encode_request
-from verbenamill_sidecar.hop import FETCH_HEADER
 from verbenamill_sidecar.desired_state import StateSnapshot, decode_snapshot
+from verbenamill_sidecar.hop import FETCH_HEADER
 
 #: Longest answer of another daemon, in bytes: some ten thousand routes.
-_MAX_KNOWLEDGE = 16 * 1024 * 1024
+_MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024
 
 
 async def fetch_snapshot(pool: ConnectionPool) -> StateSnapshot | None:
-    """Ask a daemon; ``None`` if it cannot be reached or understood."""
+    """Fetch a snapshot; ``None`` if there is no answer or an invalid one.
+
+    The connection is closed afterwards.
+    """
     connection = await pool.acquire()
     if connection is None:
         return None
@@ -30,7 +33,7 @@
             request,
             matches_request=lambda _: True,
             is_bodiless=False,
-            max_body=_MAX_KNOWLEDGE,
+            max_body=_MAX_SNAPSHOT_BYTES,
         )
     finally:
         pool.discard(connection)
--- a/libs/sidecar/src/verbenamill_sidecar/store_follower.py
+++ b/libs/sidecar/src/verbenamill_sidecar/store_follower.py
@@ -1,4 +1,4 @@
-"""Bringing the operators' wishes here: from the store, or from others."""
+"""Keeps the desired state current from the store or from other daemons."""
 
 from collections.abc import Callable
 from random import Random
@@ -8,57 +8,63 @@
 
 from verbenamill_model.typing import VmId
 from verbenamill_sidecar.datagrams import NoticeKind
+from verbenamill_sidecar.desired_state import DesiredState, VersionStamp
 from verbenamill_sidecar.distribution import NOTICE_PERIOD, DistributionTree
-from verbenamill_sidecar.snapshot_client import fetch_snapshot
-from verbenamill_sidecar.desired_state import Stamp, DesiredState
 from verbenamill_sidecar.peers import Peer, Peers
 from verbenamill_sidecar.protocol import PublishedRecords, Store, StoreFault
+from verbenamill_sidecar.snapshot_client import fetch_snapshot
 from verbenamill_telemetry import Event, log
 
-#: Longest that the store holds a read back until something comes, in s. A
-#: read that falls into an outage may never be answered, also not once the
-#: store is back; it is noticed only when the answer is overdue. What was
-#: published meanwhile has to be in force three seconds after the return.
+#: Longest time for which the store holds a read open until a record arrives,
+#: in seconds. A read that falls into an outage may never be answered, even
+#: after the store has recovered, and is noticed only once it is overdue. A
+#: change published meanwhile must take effect within three seconds of the
+#: recovery.
 LONG_POLL_TIMEOUT = 1.8
-#: The same once nothing has happened for a while. By then the reads of the
-#: daemons end at different times, as each waits a random part less, and the
-#: first one that notices an outage has not long to go.
-CALM_WAIT = 3.0
-_CALM_AFTER = 10.0
-_CALM_SPREAD = 0.4
-#: Pause after news, in seconds. In a storm of changes each read would bring
-#: one of them; only the newest counts, and reads are priced. A fifth of the
-#: time in which a change has to be in force.
-SETTLE = 0.4
-#: Bounds of the pause after a call that failed, in seconds. The longest is
-#: well below the time in which a daemon has to be up to date again after the
-#: store's return.
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 1.0
-#: How long a daemon that others are ahead of waits for its own read, in s.
-_HEAD_START = 0.4
-#: The same for one with a parent; a storm of changes is fetched in steps of
-#: this length.
-_FIRST_START = 0.05
-#: How often a daemon that does not read looks whether it has to, in seconds.
-_IDLE_PAUSE = 0.1
-#: How long a daemon that starts waits for what its neighbours know, in
-#: seconds; and how many that know nothing end the wait.
-START_WAIT = 0.2
-_ENOUGH_IGNORANT = 2
-#: How often it is looked for something new to tell the children, in s.
-_NEWS_PERIOD = 0.05
-#: Longest wait for another daemon's answer, in seconds.
+#: The same after :data:`_IDLE_AFTER` seconds without a change. The reads of
+#: the daemons end at different times by then, because each is shortened by a
+#: random part, so the first daemon to notice an outage does so soon.
+IDLE_LONG_POLL_TIMEOUT = 3.0
+_IDLE_AFTER = 10.0
+#: Largest random part by which the idle timeout is shortened.
+_IDLE_JITTER = 0.4
+#: Pause after a read that returned records, in seconds. During a burst of
+#: changes each read would return only one of them, although only the newest
+#: matters and reads are billed. The pause takes a fifth of the time within
+#: which a change must take effect.
+COALESCING_PAUSE = 0.4
+#: Bounds of the pause after a failed call, in seconds. The longest is well
+#: below the time within which a daemon must be up to date after the store has
+#: recovered.
+MIN_RETRY_PAUSE = 0.1
+MAX_RETRY_PAUSE = 1.0
+#: Time for which a daemon that is behind another one waits for its own read
+#: before it fetches the change, in seconds.
+_FETCH_DELAY = 0.4
+#: The same if the other daemon is its parent. During a burst of changes the
+#: daemon fetches once per this interval.
+_PARENT_FETCH_DELAY = 0.05
+#: Interval at which a daemon that does not read checks whether it must, in
+#: seconds.
+_READER_CHECK_PERIOD = 0.1
+#: Longest wait of a starting daemon for the state of its neighbours before it
+#: reads the store, in seconds.
+PEER_STATE_WAIT = 0.2
+#: Neighbours without a configuration that end this wait.
+_ENOUGH_UNINFORMED_PEERS = 2
+#: Interval between checks for something to notify the children of, in seconds.
+_NOTICE_CHECK_PERIOD = 0.05
+#: Longest wait for the answer of another daemon, in seconds.
 _FETCH_TIMEOUT = 2.0
-#: Fetches at a time, but for the one from the parent.
+#: Concurrent fetches; a fetch from a parent may exceed this number.
 _MAX_FETCHES = 3
 
 
 class Follower:
-    """Follows what operators publish.
+    """Follows the records that operators publish in the store.
 
-    :param notify: tells other daemons what is known here.
-    :ivar read_at: when the store last answered, on trio's clock.
+    :param notify: sends a notice about this daemon's state to others.
+    :ivar last_read_at: when the store last answered, on trio's clock.
     """
 
     def __init__(
@@ -78,63 +84,65 @@
         self._peers = peers
         self._random = random
         self._position: int | None = None
-        self._is_lost = False
-        self._settle_until = float('-inf')
-        self._stirred_at = trio.current_time()
-        self._has_idled = False
-        self._ignorant: set[VmId] = set()
-        self._begun = trio.Event()
+        self._is_store_lost = False
+        self._coalesce_until = float('-inf')
+        self._changed_at = trio.current_time()
+        self._was_not_reader = False
+        self._uninformed_peers: set[VmId] = set()
+        self._may_read = trio.Event()
         self._fetching: set[VmId] = set()
         self._nursery: trio.Nursery | None = None
-        self.read_at = float('-inf')
+        self.last_read_at = float('-inf')
 
     @property
     def is_store_lost(self) -> bool:
         """Whether the last call to the store failed."""
-        return self._is_lost
+        return self._is_store_lost
 
-    async def run(self, *, patience: float = START_WAIT) -> None:
-        """Follow until cancelled.
+    async def run(self, *, patience: float = PEER_STATE_WAIT) -> None:
+        """Follow the store until cancelled.
 
-        :param patience: how long to wait for what neighbours know before the
-            store is asked, in seconds.
+        :param patience: how long to wait for the state of neighbours before
+            the first read of the store, in seconds.
         """
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._tell)
+            nursery.start_soon(self._send_notices)
             with trio.move_on_after(patience):
-                await self._begun.wait()
-            pause = FIRST_PAUSE
+                await self._may_read.wait()
+            pause = MIN_RETRY_PAUSE
             while True:
                 fault = await self._step()
                 if fault is None:
-                    pause = FIRST_PAUSE
+                    pause = MIN_RETRY_PAUSE
                     continue
                 await trio.sleep(pause * (0.5 + self._random.random()))
-                pause = min(pause * 2, LONGEST_PAUSE)
+                pause = min(pause * 2, MAX_RETRY_PAUSE)
 
-    def begin(self) -> None:
-        """Wait no longer for what neighbours know."""
-        self._begun.set()
+    def start_reading(self) -> None:
+        """End the wait for the state of neighbours."""
+        self._may_read.set()
 
-    def hear_stamp(self, vm: VmId, stamp: Stamp) -> None:
-        """Take in what another daemon knows, in short."""
-        if self._desired_state.lacks(stamp):
-            self.is_behind(vm, stamp, is_parent=False)
+    def handle_stamp(self, vm: VmId, stamp: VersionStamp) -> None:
+        """Compare the version stamp of another daemon with the own one."""
+        if self._desired_state.is_older_than(stamp):
+            self.schedule_fetch(vm, stamp, is_parent=False)
         elif self._desired_state.version < 0:
-            self._hear_ignorance(vm)
+            self._count_uninformed_peer(vm)
 
-    def is_behind(self, vm: VmId, stamp: Stamp, *, is_parent: bool) -> None:
-        """Another daemon knows more than this one.
+    def schedule_fetch(
+        self, vm: VmId, stamp: VersionStamp, *, is_parent: bool
+    ) -> None:
+        """Fetch the state of another daemon that is newer than this one's.
 
-        One fetch from each daemon runs at a time, and a few in all: one that
-        hangs, as from a zone that was just cut off, must not keep what
-        others have from coming here. More than a few would all bring the
-        same.
+        One fetch from each daemon runs at a time, and only a few in total: a
+        fetch that hangs, for example from a zone that was just cut off, must
+        not block fetches from others, and more than a few would all return
+        the same state.
 
-        :param stamp: what it knows, in short.
-        :param is_parent: whether it is the parent of this one; then there is no
-            read of its own to wait for.
+        :param stamp: version stamp of the other daemon.
+        :param is_parent: whether the other daemon is a parent of this one,
+            which then need not wait for a read of its own.
         """
         if self._nursery is None or vm in self._fetching:
             return
@@ -145,74 +153,78 @@
             self._fetching.add(vm)
             self._nursery.start_soon(self._fetch, peer, stamp, is_parent)
 
-    def _hear_ignorance(self, vm: VmId) -> None:
-        """A neighbour knows no more than this daemon, which has started.
+    def _count_uninformed_peer(self, vm: VmId) -> None:
+        """Count a neighbour without a configuration during the start.
 
-        After all were killed at once nobody has a configuration, and to wait
-        for one would keep callers waiting.
+        After all daemons were killed at once none has a configuration, and
+        waiting for one would only delay callers.
         """
-        self._ignorant.add(vm)
-        if len(self._ignorant) >= _ENOUGH_IGNORANT:
-            self._begun.set()
+        self._uninformed_peers.add(vm)
+        if len(self._uninformed_peers) >= _ENOUGH_UNINFORMED_PEERS:
+            self._may_read.set()
 
     async def _step(self) -> StoreFault | None:
         if not self._tree.must_read():
-            await trio.sleep(_IDLE_PAUSE)
-            self._has_idled = True
+            await trio.sleep(_READER_CHECK_PERIOD)
+            self._was_not_reader = True
             return None
-        if self._has_idled:
-            # What was passed on meanwhile is not read once more; the newest
-            # of each kind is one call.
-            self._has_idled = False
+        if self._was_not_reader:
+            # What other daemons passed on meanwhile need not be read again;
+            # one call returns the newest record of each kind.
+            self._was_not_reader = False
             self._position = None
         if not self._desired_state.has_verdicts:
-            # A version that was taken back may run without an order, and an
-            # order without its verdict seems to run still.
+            # Without the verdicts, a version that was taken back might get
+            # requests, and a settled order would appear to be running.
             return await self._read_verdicts()
         if self._position is None:
-            return self._take(await self._store.read_newest())
-        await trio.sleep_until(self._settle_until)
-        found = await self._follow(self._position)
+            return self._apply(await self._store.read_newest())
+        await trio.sleep_until(self._coalesce_until)
+        found = await self._read_next(self._position)
         match found:
             case Failure(StoreFault.EXPIRED):
-                # What lies between was thrown away; the newest of each kind
-                # is kept, and nothing else is wanted.
+                # The records in between have expired. The store keeps the
+                # newest record of each kind, and no others are needed.
                 self._position = None
                 return None
-        return self._take(found)
+        return self._apply(found)
 
-    async def _follow(
+    async def _read_next(
         self, position: int
     ) -> Result[PublishedRecords, StoreFault]:
-        found = await self._store.read_from(position, self._find_wait())
+        found = await self._store.read_from(
+            position, self._choose_long_poll_timeout()
+        )
         now = trio.current_time()
         match found:
             case Success(published) if published.next_position == position:
                 return found
             case Success(_):
-                self._settle_until = now + SETTLE
-        self._stirred_at = now
+                self._coalesce_until = now + COALESCING_PAUSE
+        self._changed_at = now
         return found
 
-    def _find_wait(self) -> float:
-        """How long the store may hold the next read back."""
-        if trio.current_time() - self._stirred_at < _CALM_AFTER:
+    def _choose_long_poll_timeout(self) -> float:
+        """Choose how long the store may hold the next read open."""
+        if trio.current_time() - self._changed_at < _IDLE_AFTER:
             return LONG_POLL_TIMEOUT
-        return CALM_WAIT * (1 - _CALM_SPREAD * self._random.random())
+        return IDLE_LONG_POLL_TIMEOUT * (
+            1 - _IDLE_JITTER * self._random.random()
+        )
 
-    def _take(
+    def _apply(
         self,
         found: Result[PublishedRecords, StoreFault],
     ) -> StoreFault | None:
         match found:
             case Success(published):
-                self._take_published(published)
+                self._apply_published(published)
                 return None
             case Failure(fault):
-                return self._lose(fault)
+                return self._note_failure(fault)
         raise AssertionError('a result is a success or a failure')
 
-    def _take_published(self, published: PublishedRecords) -> None:
+    def _apply_published(self, published: PublishedRecords) -> None:
         for unreadable in published.faults:
             log(Event.RECORD_UNREADABLE, reason=unreadable)
         if published.configuration is not None:
@@ -220,31 +232,31 @@
                 published.configuration, 'store'
             )
         for order in published.orders:
-            self._desired_state.take_order(order)
+            self._desired_state.apply_order(order)
         self._position = published.next_position
-        self._recover()
+        self._note_success()
 
     async def _read_verdicts(self) -> StoreFault | None:
         match await self._store.read_verdicts():
-            case Success(settlements):
-                self._desired_state.take_settlements(
-                    settlements.settled.values()
+            case Success(reported):
+                self._desired_state.apply_stored_verdicts(
+                    reported.settled.values()
                 )
-                self._recover()
+                self._note_success()
                 return None
             case Failure(fault):
-                return self._lose(fault)
+                return self._note_failure(fault)
         raise AssertionError('a result is a success or a failure')
 
-    def _recover(self) -> None:
-        self.read_at = trio.current_time()
-        if self._is_lost:
-            self._is_lost = False
+    def _note_success(self) -> None:
+        self.last_read_at = trio.current_time()
+        if self._is_store_lost:
+            self._is_store_lost = False
             log(Event.STORE_RECOVERED, calls=self._store.calls.total())
 
-    def _lose(self, fault: StoreFault) -> StoreFault:
-        if not self._is_lost:
-            self._is_lost = True
+    def _note_failure(self, fault: StoreFault) -> StoreFault:
+        if not self._is_store_lost:
+            self._is_store_lost = True
             log(
                 Event.STORE_LOST,
                 fault=fault.value,
@@ -252,72 +264,79 @@
             )
         return fault
 
-    async def _tell(self) -> None:
-        """Tell others of all that is new, and that they are up to date."""
-        told = self._desired_state.stamp
-        told_at = float('-inf')
-        was = (False, False)
+    async def _send_notices(self) -> None:
+        """Notify others of each change and, at intervals, of the own state."""
+        sent_stamp = self._desired_state.stamp
+        sent_at = float('-inf')
+        previous = (False, False)
         while True:
             now = trio.current_time()
-            is_news = self._desired_state.stamp != told
-            # Who steps in for a reader tells it before the next one does so,
-            # and a reader that gets no answer is replaced at once.
-            state = (self._is_reading(), self._is_lost)
-            if is_news or state != was or now - told_at >= NOTICE_PERIOD:
-                told = self._desired_state.stamp
-                told_at = now
-                self._tell_now(is_news=is_news)
-            was = state
-            await trio.sleep(_NEWS_PERIOD)
+            has_changed = self._desired_state.stamp != sent_stamp
+            # A change of role is sent at once: a daemon that replaces a reader
+            # thereby keeps the next rank from reading too, and a reader
+            # without answers of the store is replaced without delay.
+            state = (self._is_reading(), self._is_store_lost)
+            if (
+                has_changed
+                or state != previous
+                or now - sent_at >= NOTICE_PERIOD
+            ):
+                sent_stamp = self._desired_state.stamp
+                sent_at = now
+                self._send_notice(has_changed=has_changed)
+            previous = state
+            await trio.sleep(_NOTICE_CHECK_PERIOD)
 
     def _is_reading(self) -> bool:
-        """Whether this daemon reads, and the store answers it."""
+        """Whether this daemon reads the store and gets answers from it."""
         return (
             self._tree.must_read()
             and self._position is not None
-            and not self._has_idled
-            and not self._is_lost
+            and not self._was_not_reader
+            and not self._is_store_lost
         )
 
-    def _tell_now(self, *, is_news: bool) -> None:
+    def _send_notice(self, *, has_changed: bool) -> None:
         if not self._tree.must_read() or self._is_reading():
             self._notify(NoticeKind.CURRENT)
-        elif self._is_lost:
+        elif self._is_store_lost:
             self._notify(NoticeKind.STALLED)
-        if is_news and self._tree.must_read():
-            self._notify(NoticeKind.NEWS)
+        if has_changed and self._tree.must_read():
+            self._notify(NoticeKind.CHANGED)
 
-    async def _fetch(self, peer: Peer, stamp: Stamp, is_parent: bool) -> None:
-        """Get from another daemon what the store did not bring in time."""
+    async def _fetch(
+        self, peer: Peer, stamp: VersionStamp, is_parent: bool
+    ) -> None:
+        """Fetch from another daemon what the store did not return in time."""
         try:
             before = self._desired_state.stamp
-            await trio.sleep(self._head_start(is_parent))
-            # The store brings the rest as well, if it has brought something.
+            await trio.sleep(self._fetch_delay(is_parent))
+            # If the store has returned something, it returns the rest too.
             is_served = not is_parent and self._desired_state.stamp != before
-            if self._desired_state.lacks(stamp) and not is_served:
+            if self._desired_state.is_older_than(stamp) and not is_served:
                 with trio.move_on_after(_FETCH_TIMEOUT):
                     await self._fetch_now(peer)
-                if is_parent and not self._desired_state.lacks(stamp):
-                    self._tree.hear_notice()
+                if is_parent and not self._desired_state.is_older_than(stamp):
+                    self._tree.note_current()
         finally:
             self._fetching.discard(peer.record.vm)
 
-    def _head_start(self, is_parent: bool) -> float:
+    def _fetch_delay(self, is_parent: bool) -> float:
         if self._desired_state.version < 0:
             return 0
-        # Both parents tell the same at about the same time; the second one
-        # is asked only if the first does not answer.
+        # Both parents send the same notice at about the same time. The second
+        # one is asked only if the first does not answer.
         is_first = is_parent and len(self._fetching) == 1
-        return _FIRST_START if is_first else _HEAD_START
+        return _PARENT_FETCH_DELAY if is_first else _FETCH_DELAY
 
     async def _fetch_now(self, peer: Peer) -> None:
-        known = await fetch_snapshot(peer.pool)
-        if known is not None:
-            self._desired_state.take_all(known, peer.record.vm)
-            self._begin_informed()
-
-    def _begin_informed(self) -> None:
-        """A neighbour has told all; its notices will come."""
-        if not self._begun.is_set() and self._desired_state.version >= 0:
-            self._begun.set()
-            self._tree.hear_notice()
+        snapshot = await fetch_snapshot(peer.pool)
+        if snapshot is not None:
+            self._desired_state.apply_snapshot(snapshot, peer.record.vm)
+            self._start_informed()
+
+    def _start_informed(self) -> None:
+        """Start with a neighbour's state; it will keep sending notices."""
+        if not self._may_read.is_set() and self._desired_state.version >= 0:
+            self._may_read.set()
+            self._tree.note_current()
--- a/libs/sidecar/src/verbenamill_sidecar/traffic.py
+++ b/libs/sidecar/src/verbenamill_sidecar/traffic.py
@@ -1,4 +1,4 @@
-"""Counts datagrams and their bytes by what they carry."""
+"""Counts datagrams and their bytes by message type."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -7,32 +7,34 @@
 
 
 class TrafficKind(NamedTuple):
-    """What a datagram carries, and whether it leaves the zone.
+    """The message type of a datagram, and whether it leaves the zone.
 
-    :param message: name of the message, in lower case.
+    :param message: class name of the message, in lower case.
     """
 
     message: str
-    crosses: bool
+    crosses_zones: bool
 
 
 class Traffic:
-    """Datagrams since the start."""
+    """Counters of datagrams since the start."""
 
     def __init__(self) -> None:
         self.datagrams: Counter[TrafficKind] = Counter()
         self.bytes: Counter[TrafficKind] = Counter()
         self.received = 0
 
-    def count_sent(self, message: Message, size: int, *, crosses: bool) -> None:
-        """Count a datagram that was sent.
+    def count_sent(
+        self, message: Message, size: int, *, crosses_zones: bool
+    ) -> None:
+        """Count a sent datagram.
 
-        :param size: its payload, in bytes.
+        :param size: size of its payload, in bytes.
         """
-        kind = TrafficKind(type(message).__name__.lower(), crosses)
+        kind = TrafficKind(type(message).__name__.lower(), crosses_zones)
         self.datagrams[kind] += 1
         self.bytes[kind] += size
 
     def count_received(self) -> None:
-        """Count a datagram that came."""
+        """Count a received datagram."""
         self.received += 1
--- a/libs/sidecar/tests/conftest.py
+++ b/libs/sidecar/tests/conftest.py
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def free_ports():
-    """Ports of which each has a free one behind it."""
+    """Function that finds ports whose next higher port is free too."""
     return find_ports
--- a/libs/sidecar/tests/test_desired_state.py
+++ b/libs/sidecar/tests/test_desired_state.py
@@ -1,4 +1,4 @@
-"""What a daemon concludes from orders and verdicts as they follow."""
+"""What a daemon concludes from successive orders and verdicts."""
 
 from verbenamill_policy.rollouts import Order, SettledOrder, Verdict
 from verbenamill_sidecar.desired_state import (
@@ -8,13 +8,13 @@
 )
 
 
-def test_a_version_that_was_taken_back_gets_nothing_in_the_next_move():
-    # A bad version is taken back; its upstreams drain some seconds later.
-    # Before that, the operator orders the move to the next version. Counted
-    # among the old versions, the bad one would get requests again.
+def test_a_version_taken_back_gets_no_requests_during_the_next_move():
+    # A bad version is taken back, and its upstreams drain some seconds later.
+    # Before that, the operator orders a move to the next version. If the bad
+    # version counted as an old one, it would get requests again.
     desired_state = DesiredState()
-    desired_state.take_order(Order(id=1, service='s', target='v2', window=6))
-    desired_state.take_settled(
+    desired_state.apply_order(Order(id=1, service='s', target='v2', window=6))
+    desired_state.apply_verdict(
         SettledOrder(
             order=1,
             service='s',
@@ -23,7 +23,7 @@
         ),
     )
     assert not desired_state.shares('s').allows('v2')
-    desired_state.take_order(Order(id=2, service='s', target='v3', window=6))
+    desired_state.apply_order(Order(id=2, service='s', target='v3', window=6))
     assert desired_state.shares('s').allows('v1')
     assert not desired_state.shares('s').allows('v2')
 
@@ -34,29 +34,30 @@
     )
 
 
-def test_a_restarted_daemon_learns_what_was_taken_back_from_a_neighbour():
-    # A daemon is restarted while the move after a bad one runs. The store
-    # tells the newest order only, so the daemon hears of the bad version
-    # from whom it fetches the rest; without that it would send it requests.
+def test_a_restarted_daemon_learns_the_versions_taken_back_from_a_neighbour():
+    # A daemon restarts during the move that follows a bad one. The store
+    # returns only the newest order, so the daemon learns of the bad version
+    # from the neighbour that it fetches from. Otherwise it would send requests
+    # to that version.
     neighbour = DesiredState()
-    neighbour.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
-    neighbour.take_order(Order(id=2, service='s', target='v3', window=6))
-    neighbour.take_settled(_verdict(2, 'v3', Verdict.RUNNING))
-    told = decode_snapshot(encode_snapshot(neighbour.known))
+    neighbour.apply_verdict(_verdict(1, 'v2', Verdict.TAKEN_BACK))
+    neighbour.apply_order(Order(id=2, service='s', target='v3', window=6))
+    neighbour.apply_verdict(_verdict(2, 'v3', Verdict.RUNNING))
+    snapshot = decode_snapshot(encode_snapshot(neighbour.snapshot))
     restarted = DesiredState()
-    restarted.take_order(Order(id=2, service='s', target='v3', window=6))
-    restarted.take_all(told, 'neighbour')
+    restarted.apply_order(Order(id=2, service='s', target='v3', window=6))
+    restarted.apply_snapshot(snapshot, 'neighbour')
     assert restarted.shares('s').allows('v1')
     assert not restarted.shares('s').allows('v2')
 
 
-def test_a_version_that_was_mended_under_its_name_is_used_again():
-    # An operator orders the version once more after it was taken back, and
-    # it is found good. In the move after that it is the old version, which
-    # has to carry all requests until the next one is trusted.
+def test_a_version_that_is_done_after_being_taken_back_is_used_again():
+    # After a version was taken back, the operator orders it once more under
+    # the same name, and it is found good. In the move after that it is the old
+    # version, which carries all requests until the next version is trusted.
     desired_state = DesiredState()
-    desired_state.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
-    desired_state.take_settled(_verdict(3, 'v2', Verdict.DONE))
-    desired_state.take_settled(_verdict(1, 'v2', Verdict.TAKEN_BACK))
-    desired_state.take_order(Order(id=4, service='s', target='v3', window=6))
+    desired_state.apply_verdict(_verdict(1, 'v2', Verdict.TAKEN_BACK))
+    desired_state.apply_verdict(_verdict(3, 'v2', Verdict.DONE))
+    desired_state.apply_verdict(_verdict(1, 'v2', Verdict.TAKEN_BACK))
+    desired_state.apply_order(Order(id=4, service='s', target='v3', window=6))
     assert desired_state.shares('s').allows('v2')
