--- a/libs/sidecar/src/verbenamill_sidecar/announcements.py
+++ b/libs/sidecar/src/verbenamill_sidecar/announcements.py
@@ -8,7 +8,7 @@
 from verbenamill_http.server import Request, Response
 from verbenamill_model.typing import UpstreamState
 from verbenamill_policy.heartbeats import Heartbeat, HeartbeatResult
-from verbenamill_sidecar.owner import OwnUpstream
+from verbenamill_sidecar.local_upstream import LocalUpstream
 from verbenamill_sidecar.protocol import (
     AnnouncementParser,
     InvalidAnnouncement,
@@ -64,9 +64,9 @@
         match announcement:
             case InvalidAnnouncement():
                 log(Event.ANNOUNCEMENT_REFUSED, reason=announcement.reason)
-                return refusal(HTTPStatus.BAD_REQUEST, announcement.reason)
+                return error_response(HTTPStatus.BAD_REQUEST, announcement.reason)
             case LeaveAnnouncement():
-                known = self._own_upstream.leave(announcement)
+                known = self._own_upstream.handle_leave(announcement)
                 log(
                     Event.UPSTREAM_DEREGISTERED,
                     instance=announcement.instance,
@@ -85,8 +85,8 @@
         if not self._is_known(heartbeat):
             reason = f'service {heartbeat.service!r} is not known here'
             log(Event.ANNOUNCEMENT_REFUSED, reason=reason)
-            return refusal(HTTPStatus.BAD_REQUEST, reason)
-        result = self._own_upstream.take(heartbeat)
+            return error_response(HTTPStatus.BAD_REQUEST, reason)
+        result = self._own_upstream.handle_heartbeat(heartbeat)
         if result is not HeartbeatResult.UNCHANGED:
             log(
                 Event.UPSTREAM_HEARTBEAT,
@@ -102,7 +102,7 @@
             reason = (
                 f'{heartbeat.address} is not the upstream beside this daemon'
             )
-            return refusal(HTTPStatus.BAD_REQUEST, reason)
+            return error_response(HTTPStatus.BAD_REQUEST, reason)
         return _accepted()
 
 
--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -27,8 +27,8 @@
 from verbenamill_sidecar.health import Health
 from verbenamill_sidecar.ingress import Ingress
 from verbenamill_sidecar.ingress_context import IngressContext
-from verbenamill_sidecar.owner import OwnerContext, OwnUpstream
-from verbenamill_sidecar.passed_on import PassedOn
+from verbenamill_sidecar.local_upstream import LocalUpstreamContext, LocalUpstream
+from verbenamill_sidecar.peer_requests import PeerRequestHandler
 from verbenamill_sidecar.peers import Peers
 from verbenamill_sidecar.protocol import (
     AnnouncementParser,
@@ -112,8 +112,8 @@
             LocalUpstreamContext(
                 names=context.names,
                 address=settings.upstream_address,
-                changed=self._publish_upstream,
-                allows=self._allows,
+                on_change=self._publish_upstream,
+                allows_version_of=self._allows,
                 gate=self._gate,
                 wall_ms=lambda: int(context.now().timestamp() * 1000),
             ),
@@ -140,7 +140,7 @@
             peers=self._peers,
             desired_state=self._desired_state,
             random=context.random,
-            restore_upstream=self._own_upstream.recall,
+            restore_upstream=self._own_upstream.restore,
             follower=self._follower,
             tree=self._tree,
             on_tally=self._rollout_controller.record_tally,
@@ -257,7 +257,7 @@
             on_error=_log_fault,
         )
         self._daemon_server = HttpServer(
-            passed_on.handle,
+            peer_requests.handle,
             limits=self._daemon_limits,
             on_error=_log_fault,
         )
@@ -337,8 +337,8 @@
                 # The owner refuses every request by now, with an outcome that
                 # other daemons understand.
                 await self._daemon_server.shut_down(reject_late=False)
-        if self._own_upstream.in_hand:
-            self._own_upstream.give_up()
+        if self._own_upstream.in_flight:
+            self._own_upstream.cancel_running()
             await trio.sleep(_FINAL_ANSWERS_TIME)
 
     async def _finish_callers(self) -> None:
--- a/libs/sidecar/src/verbenamill_sidecar/liveness.py
+++ b/libs/sidecar/src/verbenamill_sidecar/liveness.py
@@ -45,15 +45,15 @@
             if now - due >= STALL_THRESHOLD:
                 log(Event.PROCESS_STALLED, ms=int((now - due) * 1000))
                 self._resumed_at = now
-            for peer in self._peers.to_watch():
+            for peer in self._peers.watched_peers():
                 self._check(peer, now)
 
     def _check(self, peer: Peer, now: float) -> None:
         """Update the state of a silent daemon, and probe it if it is due."""
         silence = peer.silent_for(now)
-        peer.doubt_silence(now, awake_since=self._resumed_at)
+        peer.check_silence(now, awake_since=self._resumed_at)
         is_unreachable = peer.owner.down_until > now or self._may_return(peer)
-        if silence < ASK_AFTER and not is_unreachable:
+        if silence < PROBE_AFTER and not is_unreachable:
             return
         pause = PROBE_PERIOD if is_unreachable else 2 * CHECK_PERIOD
         probed_at = self._probed_at.get(peer.record.vm, float('-inf'))
--- a/libs/sidecar/src/verbenamill_sidecar/registration.py
+++ b/libs/sidecar/src/verbenamill_sidecar/registration.py
@@ -61,7 +61,7 @@
         on_no_members: Callable[[], None],
         quarantine: Quarantine,
     ) -> None:
-        self._quarantine_memory = QuarantineMemory(store, quarantine)
+        self._quarantine_store = QuarantineStore(store, quarantine)
         self._on_no_members = on_no_members
         self._is_store_lost = is_store_lost
         self._table = table
@@ -192,7 +192,7 @@
             return False
         saved_state = found.unwrap()
         self._gossip.merge_members(saved_state.members, spread=spread)
-        self._quarantine_memory.note_saved(saved_state.suspects)
+        self._quarantine_store.mark_saved(saved_state.suspects)
         self._gossip.merge_suspects(saved_state.suspects)
         self._has_read_members = True
         return True
@@ -211,7 +211,7 @@
         while True:
             await trio.sleep(_SAVE_CHECK_PERIOD)
             if self._tree.represents_zone and not self._is_store_lost():
-                await self._quarantine_memory.save()
+                await self._quarantine_store.save()
 
     async def _save_zone(self) -> None:
         zone = self._gossip.own.availability_zone
--- a/libs/sidecar/tests/test_dissemination.py
+++ b/libs/sidecar/tests/test_dissemination.py
@@ -499,7 +499,7 @@
     fleet.run(6)
     fingerprint = make_call().find_fingerprint()
     assert fleet.daemons_blocking(fingerprint)
-    fleet.daemons['3-3'].gate.conclude(make_call(), has_completed=True)
+    fleet.daemons['3-3'].gate.record_end(make_call(), has_completed=True)
     fleet.rounds_until(
         lambda: not fleet.daemons_blocking(fingerprint),
         2 * ROUNDS_PER_COMPARISON,
--- a/libs/sidecar/tests/test_silence.py
+++ b/libs/sidecar/tests/test_silence.py
@@ -67,7 +67,7 @@
             for _ in range(int(seconds / pause)):
                 await trio.sleep(pause)
                 if alive_period:
-                    self.peer.hear()
+                    self.peer.mark_alive()
         return doubted_at
 
 
