--- a/libs/sidecar/src/verbenamill_sidecar/announcements.py
+++ b/libs/sidecar/src/verbenamill_sidecar/announcements.py
@@ -64,7 +64,9 @@
         match announcement:
             case InvalidAnnouncement():
                 log(Event.ANNOUNCEMENT_REFUSED, reason=announcement.reason)
-                return error_response(HTTPStatus.BAD_REQUEST, announcement.reason)
+                return error_response(
+                    HTTPStatus.BAD_REQUEST, announcement.reason
+                )
             case LeaveAnnouncement():
                 known = self._own_upstream.handle_leave(announcement)
                 log(
--- a/libs/sidecar/src/verbenamill_sidecar/metrics.py
+++ b/libs/sidecar/src/verbenamill_sidecar/metrics.py
@@ -120,7 +120,9 @@
         for service, counts in latencies.counts.items():
             cumulative = 0
             buckets: list[tuple[str, float]] = []
-            for bound, count in zip((*LATENCY_BOUNDS, None), counts, strict=True):
+            for bound, count in zip(
+                (*LATENCY_BOUNDS, None), counts, strict=True
+            ):
                 cumulative += count
                 buckets.append(
                     ('+Inf' if bound is None else str(bound), cumulative)
