--- a/libs/sidecar/src/verbenamill_sidecar/daemon.py
+++ b/libs/sidecar/src/verbenamill_sidecar/daemon.py
@@ -28,8 +28,8 @@
 from verbenamill_sidecar.ingress import Ingress
 from verbenamill_sidecar.ingress_context import IngressContext
 from verbenamill_sidecar.local_upstream import (
-    LocalUpstreamContext,
     LocalUpstream,
+    LocalUpstreamContext,
 )
 from verbenamill_sidecar.peer_requests import PeerRequestHandler
 from verbenamill_sidecar.peers import Peers
--- a/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
+++ b/libs/sidecar/src/verbenamill_sidecar/rollout_controller.py
@@ -114,8 +114,8 @@
     def _step(self, order: Order, nursery: trio.Nursery) -> None:
         now = trio.current_time()
         move = self._moves.setdefault(order.id, _TrackedMove(order, now))
-        known = self._desired_state.progress_of(order)
-        move.started_at = min(move.started_at, now - known.age)
+        current = self._desired_state.progress_of(order)
+        move.started_at = min(move.started_at, now - current.age)
         decider = self._find_decider(order, now)
         self._send_tally(order, decider, now)
         if decider is None or not self._peers.is_own(decider):
@@ -124,8 +124,8 @@
             return
         if move.verdict is not None:
             return
-        if known.stage != move.stage:
-            move.stage = known.stage
+        if current.stage != move.stage:
+            move.stage = current.stage
             move.stage_started_at = now
         if not move.is_announced:
             move.is_announced = True
@@ -133,16 +133,16 @@
         move.evidence.update(self._tallies_of(order.service))
         if not move.is_confirmed and not self._has_verdicts():
             return
-        if known.vetoed:
-            decision = Decision(stage=known.stage, veto='vetoed before')
+        if current.vetoed:
+            decision = Decision(stage=current.stage, veto='vetoed before')
         else:
-            decision = decide(self._build_context(move, known, now))
-        self._act(move, known, decision, now, nursery)
+            decision = decide(self._build_context(move, current, now))
+        self._act(move, current, decision, now, nursery)
 
     def _build_context(
         self,
         move: _TrackedMove,
-        known: Progress,
+        current: Progress,
         now: float,
     ) -> MoveContext:
         order = move.order
@@ -150,7 +150,7 @@
             window=order.window,
             elapsed=now - move.started_at,
             time_in_stage=now - move.stage_started_at,
-            progress=known,
+            progress=current,
             target_ready=any(
                 peer.upstream is not None
                 and peer.upstream.version == order.target
@@ -163,14 +163,14 @@
     def _act(
         self,
         move: _TrackedMove,
-        known: Progress,
+        current: Progress,
         decision: Decision,
         now: float,
         nursery: trio.Nursery,
     ) -> None:
         order = move.order
         vetoed = bool(decision.veto)
-        if vetoed or decision.stage != known.stage:
+        if vetoed or decision.stage != current.stage:
             assert self._gossip is not None
             self._gossip.publish_progress(
                 Progress(
--- a/libs/sidecar/src/verbenamill_sidecar/store_follower.py
+++ b/libs/sidecar/src/verbenamill_sidecar/store_follower.py
@@ -124,7 +124,7 @@
         self._may_read.set()
 
     def handle_stamp(self, vm: VmId, stamp: VersionStamp) -> None:
-        """Compare the version stamp of another daemon with the own one."""
+        """Fetch the state of another daemon if its stamp is newer."""
         if self._desired_state.is_older_than(stamp):
             self.schedule_fetch(vm, stamp, is_parent=False)
         elif self._desired_state.version < 0:
@@ -265,7 +265,7 @@
         return fault
 
     async def _send_notices(self) -> None:
-        """Notify others of each change and, at intervals, of the own state."""
+        """Notify others of each change and, regularly, of this state."""
         sent_stamp = self._desired_state.stamp
         sent_at = float('-inf')
         previous = (False, False)
