--- a/deploy/tests/conftest.py
+++ b/deploy/tests/conftest.py
@@ -10,12 +10,12 @@
 import pytest
 import trio
 
+from verbenamill_http.addresses import parse_address
 from verbenamill_platform import HEADERS, PlatformStore, read_announcement
-from verbenamill_platform.members import read_members
+from verbenamill_platform.members import decode_members
 from verbenamill_platform.records import Record
 from verbenamill_platform_standins import StoreStandIn, UpstreamStandIn
 from verbenamill_platform_standins.ports import find_ports
-from verbenamill_http.addresses import parse_address
 from verbenamill_sidecar.daemon import Daemon, DaemonContext
 from verbenamill_sidecar.settings import check_settings
 
@@ -307,7 +307,7 @@
             topic = self.store.topic('keyed.verbenamill-members')
             newest = dict(topic.records)
             records = [Record(0, key, value) for key, value in newest.items()]
-            kept = {member.vm: member for member in read_members(records)}
+            kept = {member.vm: member for member in decode_members(records)}
             own = [vm.daemon._gossip.own for vm in self.vms]
             return all(
                 record.vm in kept
--- a/deploy/tests/test_adapter.py
+++ b/deploy/tests/test_adapter.py
@@ -8,21 +8,21 @@
 from verbenamill_model.typing import UpstreamState
 from verbenamill_platform import read_announcement
 from verbenamill_platform.documents import (
-    read_configuration,
-    read_order,
-    read_settled,
-    write_settled,
+    decode_configuration,
+    decode_order,
+    decode_settled_order,
+    encode_settled_order,
 )
 from verbenamill_platform.members import (
-    pack_announcement,
-    pack_member,
-    pack_zone,
-    read_members,
+    decode_members,
+    encode_announcement,
+    encode_member,
+    encode_zone,
 )
-from verbenamill_platform.records import pack, unpack
+from verbenamill_platform.records import decode_page, encode_record
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.rollouts import SettledOrder, Verdict
-from verbenamill_sidecar.protocol import LeaveAnnouncement, InvalidAnnouncement
+from verbenamill_sidecar.protocol import InvalidAnnouncement, LeaveAnnouncement
 
 ROOT = Path(__file__).parents[2]
 NAMES = re.compile(
@@ -45,9 +45,9 @@
 
 
 def test_records_survive_the_wire():
-    records = pack('a', b'1') + pack('b', b'')
+    records = encode_record('a', b'1') + encode_record('b', b'')
     ends = (9).to_bytes(8, 'big') + (2).to_bytes(8, 'big')
-    page = unpack(ends + records, 7)
+    page = decode_page(ends + records, 7)
     assert page.end == 9
     assert [tuple(one) for one in page.records] == [
         (7, 'a', b'1'),
@@ -59,12 +59,12 @@
 def test_a_page_that_is_cut_short_is_refused(cut):
     ends = (9).to_bytes(8, 'big') + (2).to_bytes(8, 'big')
     with pytest.raises(ValueError, match='cut short|no ends'):
-        unpack((ends + pack('a', b'1'))[:cut], 0)
+        decode_page((ends + encode_record('a', b'1'))[:cut], 0)
 
 
 def test_a_configuration_is_decoded_once(kit):
     value = __import__('json').dumps(kit.document(0x1F)).encode()
-    found = read_configuration(value)
+    found = decode_configuration(value)
     assert found.version == 31
     assert [route.name for route in found.routes] == [
         'lookup',
@@ -83,15 +83,15 @@
         settled = SettledOrder(
             order=4, service='s', target='v2', verdict=verdict
         )
-        key, value = write_settled(settled)
-        assert read_settled(key, value) == settled
+        key, value = encode_settled_order(settled)
+        assert decode_settled_order(key, value) == settled
 
 
 def test_an_order_names_its_own_service():
     value = b'{"service": "a", "targetVersion": "v2", "durationS": 12}'
-    assert read_order('rollout/a', value, 3).window == 12
-    with pytest.raises(ValueError, match='orders a move of a'):
-        read_order('rollout/b', value, 3)
+    assert decode_order('rollout/a', value, 3).window == 12
+    with pytest.raises(ValueError, match='an order for service a'):
+        decode_order('rollout/b', value, 3)
 
 
 def test_announcements_are_read_or_refused():
@@ -128,14 +128,14 @@
 
 def read_back(data):
     ends = (0).to_bytes(8, 'big') * 2
-    newest = {one.key: one for one in unpack(ends + data, 0).records}
-    return newest, read_members(newest.values())
+    newest = {one.key: one for one in decode_page(ends + data, 0).records}
+    return newest, decode_members(newest.values())
 
 
 @pytest.mark.parametrize('count', [0, 1, 500, 501, 1700])
 def test_the_members_of_a_zone_are_kept_together(count):
     members = [make_member(f'vm{number}') for number in range(count)]
-    newest, found = read_back(pack_zone('z', members, ()))
+    newest, found = read_back(encode_zone('z', members, ()))
     assert {member.vm for member in found} == {one.vm for one in members}
     assert len([one for one in newest.values() if one.value]) <= 4
     assert all(len(one.value) < 262_144 for one in newest.values())
@@ -143,7 +143,7 @@
 
 def test_a_zone_that_shrinks_leaves_no_former_members():
     before = [make_member(f'vm{number}') for number in range(700)]
-    data = pack_zone('z', before, ()) + pack_zone('z', before[:3], ())
+    data = encode_zone('z', before, ()) + encode_zone('z', before[:3], ())
     assert len(read_back(data)[1]) == 3
 
 
@@ -151,18 +151,18 @@
     # A daemon that wrote that its upstream leaves has a record of its own. A
     # reader that has not heard of that yet saves the zone with an older one.
     older, newer = make_member('vm1'), make_member('vm1', incarnation=2)
-    data = pack_member(newer) + pack_zone('z', [older], ())
+    data = encode_member(newer) + encode_zone('z', [older], ())
     assert read_back(data)[1] == (newer,)
 
 
 def test_an_announcement_ends_once_its_zone_is_saved():
     one = make_member('vm1')
-    data = pack_announcement(one)
+    data = encode_announcement(one)
     assert read_back(data)[1] == (one,)
-    newest, found = read_back(data + pack_zone('z', [one], ['vm1']))
+    newest, found = read_back(data + encode_zone('z', [one], ['vm1']))
     assert found == (one,)
     assert len([record for record in newest.values() if record.value]) == 1
 
 
 def test_a_record_of_another_version_of_the_program_names_nobody():
-    assert read_back(pack('vm1', b'{"vm": 7}'))[1] == ()
+    assert read_back(encode_record('vm1', b'{"vm": 7}'))[1] == ()
--- a/deploy/tests/test_failures.py
+++ b/deploy/tests/test_failures.py
@@ -3,11 +3,11 @@
 import trio
 from trio.testing import MockClock
 
-from verbenamill_platform.store import READ_TIMEOUT
+from verbenamill_platform.store import LONG_POLL_GRACE
 from verbenamill_platform_standins.http_server import HttpResponse
 from verbenamill_policy.routes import RouteKind
-from verbenamill_sidecar.store_follower import LONG_POLL_TIMEOUT
 from verbenamill_sidecar.hop import HopCall, encode_hop
+from verbenamill_sidecar.store_follower import LONG_POLL_TIMEOUT
 
 
 def sealed(id, body=b'whole'):
@@ -416,7 +416,7 @@
     # change. What is published after the return would come only when the
     # reads are given up: that has to be within three seconds of the outage,
     # with some time left to pass it on.
-    assert LONG_POLL_TIMEOUT + READ_TIMEOUT <= 2.8
+    assert LONG_POLL_TIMEOUT + LONG_POLL_GRACE <= 2.8
 
 
 def test_news_are_followed_after_a_read_that_was_never_answered(play, kit):
@@ -522,7 +522,7 @@
         follower = second.daemon._follower
         follower._store.read_from = _never
         follower._store.read_newest = _never
-        await trio.sleep(LONG_POLL_TIMEOUT + READ_TIMEOUT)
+        await trio.sleep(LONG_POLL_TIMEOUT + LONG_POLL_GRACE)
         site.store.is_down = True
 
         async def is_lost():
--- a/deploy/tests/test_poisonous_records.py
+++ b/deploy/tests/test_poisonous_records.py
@@ -11,9 +11,9 @@
 
 from verbenamill_http.addresses import Address
 from verbenamill_platform.documents import (
-    read_configuration,
-    read_order,
-    read_settled,
+    decode_configuration,
+    decode_order,
+    decode_settled_order,
 )
 from verbenamill_policy.routes import RouteTable, SplitCounter
 from verbenamill_sidecar.datagrams import Message, decode_message
@@ -65,7 +65,7 @@
         'services': {'columns': ['name'], 'rows': [['entries']]},
     }
     try:
-        configuration = read_configuration(json.dumps(document).encode())
+        configuration = decode_configuration(json.dumps(document).encode())
     except ValueError:
         return
     table = RouteTable(configuration)
@@ -86,7 +86,7 @@
         'services': {'columns': ['name'], 'rows': [['s']]},
     }
     try:
-        configuration = read_configuration(json.dumps(document).encode())
+        configuration = decode_configuration(json.dumps(document).encode())
     except ValueError:
         assert max(weights, default=0) <= 0
         return
@@ -100,9 +100,9 @@
     """Guards against a record that stops each daemon that reads it."""
     data = json.dumps(value).encode()
     for read in (
-        read_configuration,
-        lambda told: read_order('rollout/s', told, 1),
-        lambda told: read_settled('rollout/s', told),
+        decode_configuration,
+        lambda told: decode_order('rollout/s', told, 1),
+        lambda told: decode_settled_order('rollout/s', told),
     ):
         try:
             read(data)
--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -9,10 +9,10 @@
 from verbenamill_platform_standins.http_server import HttpResponse
 from verbenamill_policy.placement import INITIAL_BACKOFF
 from verbenamill_sidecar import ingress as ingress_module
-from verbenamill_sidecar.call import ExecutionStatus, Outcome, not_run, unknown
-from verbenamill_sidecar.forwarding import forward_call
-from verbenamill_sidecar.peers import SUSPECT_AFTER
+from verbenamill_sidecar.call import Fate, Outcome, not_run, unknown
 from verbenamill_sidecar.liveness import PROBE_PERIOD
+from verbenamill_sidecar.passing_on import pass_on
+from verbenamill_sidecar.peers import LOST_AFTER
 
 
 def mute(vm):
