--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Puts the daemon and all it needs into target/deps, compiled ahead.
+# Installs the daemon and its dependencies into target/deps and compiles them.
 set -eu
 stamp=target/deps/.stamp
 if [ ! -e "$stamp" ] || [ constraints.txt -nt "$stamp" ] \
--- a/deploy/node/src/verbenamill_node/__init__.py
+++ b/deploy/node/src/verbenamill_node/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon as it is started on the users' platform."""
+"""Entry point of the daemon on the users' platform."""
--- a/deploy/node/src/verbenamill_node/__main__.py
+++ b/deploy/node/src/verbenamill_node/__main__.py
@@ -1,4 +1,4 @@
-"""``python3 -m verbenamill_node``: the daemon."""
+"""Runs the daemon: ``python3 -m verbenamill_node``."""
 
 import sys
 
--- a/deploy/node/src/verbenamill_node/early_signals.py
+++ b/deploy/node/src/verbenamill_node/early_signals.py
@@ -1,12 +1,12 @@
-"""What a process does before it imports the daemon, which takes a while."""
+"""Signal handling before the import of the daemon, which takes a while."""
 
 import signal
 
 
 def ignore_hangups() -> None:
-    """Outlive SIGHUP until the daemon handles it.
+    """Ignore SIGHUP until the daemon installs its own handler.
 
-    It tells that the settings have changed; a process that starts reads them
-    anyway, and would end by the signal.
+    SIGHUP announces changed settings. A starting process reads the settings
+    anyway, but the default action of the signal would terminate it.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/deploy/node/src/verbenamill_node/startup.py
+++ b/deploy/node/src/verbenamill_node/startup.py
@@ -1,4 +1,4 @@
-"""Joins the daemon and the platform's adapter, and runs them."""
+"""Runs the daemon with the adapter to the platform."""
 
 import gc
 import os
@@ -22,17 +22,19 @@
 from verbenamill_telemetry import Event, log, set_up_logs
 from verbenamill_telemetry.streams import NonBlockingStream
 
-#: Names the settings file, where no argument does.
+#: Environment variable with the path of the settings file, which is used if
+#: the path is not given as an argument.
 SETTINGS_VARIABLE = 'VERBENAMILL_BOOT'
-BAD_SETTINGS = 2
-#: Objects between two collections. What a request makes is freed by counting
-#: references; a collection would only walk what lives for long.
+INVALID_SETTINGS_EXIT_CODE = 2
+#: Net allocations before a garbage collection. The objects of a request are
+#: freed by reference counting; a collection would mostly traverse long-lived
+#: objects.
 _GC_THRESHOLD = 50_000
 
 
 def main() -> int:
     """Run the daemon until SIGTERM or SIGINT."""
-    path = Path(_find_path())
+    path = Path(_settings_path())
     match load_settings(path):
         case Success(settings):
             return _run(settings, path)
@@ -40,10 +42,10 @@
             set_up_logs(LoggingSettings(), stream=NonBlockingStream(1))
             for fault in faults:
                 log(Event.SETTINGS_INVALID, path=path, fault=fault)
-    return BAD_SETTINGS
+    return INVALID_SETTINGS_EXIT_CODE
 
 
-def _find_path() -> str:
+def _settings_path() -> str:
     if len(sys.argv) > 1:
         return sys.argv[1]
     return os.environ.get(SETTINGS_VARIABLE, 'daemon.toml')
@@ -60,13 +62,13 @@
     try:
         trio.run(_serve, settings, path)
     except BaseException as error:
-        log(Event.INVARIANT_BROKEN, detail=_find_cause(error))
+        log(Event.INVARIANT_BROKEN, detail=_describe_cause(error))
         raise
     return 0
 
 
-def _find_cause(error: BaseException) -> str:
-    """First innermost exception of nested groups, in one line."""
+def _describe_cause(error: BaseException) -> str:
+    """Return the first innermost exception of nested groups, in one line."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return repr(error)
