--- a/deploy/tests/conftest.py
+++ b/deploy/tests/conftest.py
@@ -1,4 +1,7 @@
-"""A small site in one loop: store, upstreams, daemons and callers."""
+"""Fixtures that run a small site in one event loop.
+
+A site has a store, upstreams, daemons and callers.
+"""
 
 from contextlib import asynccontextmanager, suppress
 from datetime import UTC, datetime
@@ -86,7 +89,7 @@
 
 
 class Answer:
-    """One answer as a caller sees it."""
+    """A response as a caller receives it."""
 
     def __init__(self):
         self.headers = {}
@@ -128,17 +131,17 @@
         data = await stream.receive_some(65536)
         if not data:
             return answer
-        # One answer at a time, so that pipelined ones stay apart.
-        for place in range(len(data)):
-            answer.feed(data[place : place + 1])
+        # Parse byte by byte so that pipelined responses stay separate.
+        for index in range(len(data)):
+            answer.feed(data[index : index + 1])
             if answer.is_whole:
-                stream.rest = data[place + 1 :]
+                stream.rest = data[index + 1 :]
                 break
     return answer
 
 
 class Caller:
-    """A connection of a caller."""
+    """A caller with one connection."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -163,7 +166,7 @@
 
 
 class Vm:
-    """One VM: an upstream, and the daemon beside it."""
+    """A VM with an upstream and its daemon."""
 
     def __init__(self, site, name, ports, *, zone, upstream):
         self.site = site
@@ -177,7 +180,7 @@
         self.ended = trio.Event()
 
     async def start(self):
-        """Start the daemon; again after :meth:`kill`."""
+        """Start the daemon, for the first time or after :meth:`kill`."""
         text = SETTINGS.format(
             *self.ports,
             vm=self.name,
@@ -199,7 +202,7 @@
             ),
         )
         self.site.nursery.start_soon(self._run)
-        await self.site.until(self.is_listening)
+        await self.site.wait_until(self.is_listening)
 
     async def _run(self):
         with trio.CancelScope() as scope:
@@ -208,7 +211,7 @@
         self.ended.set()
 
     async def kill(self):
-        """End the daemon as a signal that cannot be caught does."""
+        """Stop the daemon as SIGKILL would, without any cleanup."""
         self.scope.cancel()
         await self.ended.wait()
 
@@ -220,8 +223,8 @@
         await stream.aclose()
         return True
 
-    async def tell(self, message):
-        """Send what the upstream says of itself; the answer's status."""
+    async def send_announcement(self, message):
+        """Send an announcement of the upstream; return the response status."""
         target, body = message
         caller = await self.connect(3)
         await caller.send(encode(target, method='POST', body=body))
@@ -229,11 +232,11 @@
         await caller.aclose()
         return answer.status
 
-    async def beat(self, state='ready'):
-        return await self.tell(self.upstream.heartbeat(state))
+    async def send_heartbeat(self, state='ready'):
+        return await self.send_announcement(self.upstream.heartbeat(state))
 
-    async def connect(self, place=0):
-        stream = await trio.open_tcp_stream('127.0.0.1', self.ports[place])
+    async def connect(self, port_index=0):
+        stream = await trio.open_tcp_stream('127.0.0.1', self.ports[port_index])
         return Caller(stream)
 
     async def call(self, path, **more):
@@ -252,7 +255,7 @@
 
 
 class Site:
-    """Everything, in one loop."""
+    """A store and VMs that run in one event loop."""
 
     def __init__(self, nursery, find_ports):
         self.nursery = nursery
@@ -261,34 +264,38 @@
         self.vms = []
         self._find_ports = find_ports
 
-    async def add(self, name, *, zone='z1', start=True, **upstream):
-        made = UpstreamStandIn(instance=f'i-{name}', zone=zone, **upstream)
-        await self.nursery.start(made.serve_with_restarts, self.restarted)
-        vm = Vm(self, name, self._find_ports(5), zone=zone, upstream=made)
+    async def add_vm(self, name, *, zone='z1', start=True, **upstream_options):
+        stand_in = UpstreamStandIn(
+            instance=f'i-{name}', zone=zone, **upstream_options
+        )
+        await self.nursery.start(
+            stand_in.serve_with_restarts, self.send_heartbeats_of_restarted
+        )
+        vm = Vm(self, name, self._find_ports(5), zone=zone, upstream=stand_in)
         self.vms.append(vm)
         if start:
             await vm.start()
-            await vm.beat()
+            await vm.send_heartbeat()
         return vm
 
-    def restarted(self):
-        """Each upstream that has started again tells its daemon."""
-        self.nursery.start_soon(self._beat_all)
+    def send_heartbeats_of_restarted(self):
+        """Send a heartbeat of each upstream that has restarted."""
+        self.nursery.start_soon(self._send_heartbeats_to_daemons)
 
-    async def _beat_all(self):
+    async def _send_heartbeats_to_daemons(self):
         for vm in self.vms:
             if vm.upstream.crashed_at and vm.daemon is not None:
                 with suppress(OSError, trio.BrokenResourceError):
-                    await vm.beat()
+                    await vm.send_heartbeat()
 
-    async def until(self, condition):
-        """Wait until something holds; fails after long."""
+    async def wait_until(self, condition):
+        """Wait until a condition holds, for at most 15 seconds."""
         with trio.fail_after(15):
             while not await condition():
                 await trio.sleep(0.02)
 
-    async def settled(self):
-        """Wait until all daemons know each other and their upstreams."""
+    async def wait_until_converged(self):
+        """Wait until all daemons know each other and all upstreams."""
 
         async def is_settled():
             tables = [vm.daemon._table for vm in self.vms if vm.daemon]
@@ -298,10 +305,10 @@
                 for table in tables
             )
 
-        await self.until(is_settled)
+        await self.wait_until(is_settled)
 
-    async def saved(self):
-        """Wait until the store has what the daemons tell of themselves."""
+    async def wait_until_saved(self):
+        """Wait until the store has the current record of each daemon."""
 
         async def is_saved():
             topic = self.store.topic('keyed.verbenamill-members')
@@ -315,22 +322,22 @@
                 for record in own
             )
 
-        await self.until(is_saved)
+        await self.wait_until(is_saved)
 
-    async def in_force(self, version):
-        """Wait until all daemons run a version."""
+    async def wait_until_configured(self, version):
+        """Wait until all daemons use a version of the configuration."""
 
         async def is_in_force():
             return all(
                 vm.daemon._desired_state.version == version for vm in self.vms
             )
 
-        await self.until(is_in_force)
+        await self.wait_until(is_in_force)
 
 
 @pytest.fixture
-def play():
-    """Run a scene on a site of its own."""
+def run_scenario():
+    """Run a test scenario on a new site."""
 
     @asynccontextmanager
     async def open_site():
@@ -340,12 +347,12 @@
             yield site
             nursery.cancel_scope.cancel()
 
-    def run(scene, *, configured=True, clock=None):
+    def run(scenario, *, configured=True, clock=None):
         async def main():
             async with open_site() as site:
                 if configured:
                     site.store.write_as_operator('config', document(1))
-                await scene(site)
+                await scenario(site)
 
         trio.run(main, clock=clock)
 
@@ -353,15 +360,15 @@
 
 
 @pytest.fixture
-def kit():
-    """What scenes are made of."""
+def factories():
+    """Factories of configurations and requests."""
 
-    class Kit:
+    class Factories:
         pass
 
-    made = Kit()
-    made.row = row
-    made.rows = ROWS
-    made.document = document
-    made.encode = encode
-    return made
+    namespace = Factories()
+    namespace.row = row
+    namespace.rows = ROWS
+    namespace.document = document
+    namespace.encode = encode
+    return namespace
--- a/deploy/tests/test_adapter.py
+++ b/deploy/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""Formats of the platform, and that its names stand nowhere else."""
+"""Formats of the platform; its names must not occur outside the adapter."""
 
 import re
 from pathlib import Path
@@ -25,7 +25,7 @@
 from verbenamill_sidecar.protocol import InvalidAnnouncement, LeaveAnnouncement
 
 ROOT = Path(__file__).parents[2]
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r'X-(Attempt-Id|Deadline-Ms|Expect-Instance|Response-Seal|'
     r'Caller-Service|Not-Executed|Instance-Id|Server-Load)|'
     r'Server-(Limit|Leaving)|'
@@ -36,34 +36,36 @@
 )
 
 
-def test_the_platform_s_names_stand_in_its_folder_only():
+def test_platform_names_occur_only_in_the_adapter():
     sources = [*(ROOT / 'libs').rglob('src/**/*.py')]
     sources += (ROOT / 'deploy' / 'node').rglob('*.py')
     assert len(sources) > 100
-    leaks = [path.name for path in sources if NAMES.search(path.read_text())]
+    leaks = [
+        path.name for path in sources if PLATFORM_NAMES.search(path.read_text())
+    ]
     assert not leaks
 
 
-def test_records_survive_the_wire():
+def test_encoded_records_are_decoded():
     records = encode_record('a', b'1') + encode_record('b', b'')
-    ends = (9).to_bytes(8, 'big') + (2).to_bytes(8, 'big')
-    page = decode_page(ends + records, 7)
+    header = (9).to_bytes(8, 'big') + (2).to_bytes(8, 'big')
+    page = decode_page(header + records, 7)
     assert page.end == 9
-    assert [tuple(one) for one in page.records] == [
+    assert [tuple(record) for record in page.records] == [
         (7, 'a', b'1'),
         (8, 'b', b''),
     ]
 
 
 @pytest.mark.parametrize('cut', [1, 5, 17, 20])
-def test_a_page_that_is_cut_short_is_refused(cut):
-    ends = (9).to_bytes(8, 'big') + (2).to_bytes(8, 'big')
+def test_a_truncated_page_is_rejected(cut):
+    header = (9).to_bytes(8, 'big') + (2).to_bytes(8, 'big')
     with pytest.raises(ValueError, match='cut short|no ends'):
-        decode_page((ends + encode_record('a', b'1'))[:cut], 0)
+        decode_page((header + encode_record('a', b'1'))[:cut], 0)
 
 
-def test_a_configuration_is_decoded_once(kit):
-    value = __import__('json').dumps(kit.document(0x1F)).encode()
+def test_a_configuration_is_decoded(factories):
+    value = __import__('json').dumps(factories.document(0x1F)).encode()
     found = decode_configuration(value)
     assert found.version == 31
     assert [route.name for route in found.routes] == [
@@ -78,7 +80,7 @@
     assert found.services == {'entries', 'catalog'}
 
 
-def test_verdicts_go_and_come_back():
+def test_encoded_verdicts_are_decoded():
     for verdict in Verdict:
         settled = SettledOrder(
             order=4, service='s', target='v2', verdict=verdict
@@ -87,30 +89,34 @@
         assert decode_settled_order(key, value) == settled
 
 
-def test_an_order_names_its_own_service():
+def test_an_order_for_another_service_than_its_key_is_rejected():
     value = b'{"service": "a", "targetVersion": "v2", "durationS": 12}'
     assert decode_order('rollout/a', value, 3).window == 12
     with pytest.raises(ValueError, match='an order for service a'):
         decode_order('rollout/b', value, 3)
 
 
-def test_announcements_are_read_or_refused():
+def test_announcements_are_decoded_or_rejected():
     target = b'/v1/rpc?call=instances.heartbeat&of=i-1'
     body = (
         b'{"address":"10.0.0.1:80","born":7,"info":{"service":"s",'
         b'"version":"v1","zone":"z","slots":3},'
         b'"status":{"state":"draining","sequence":2,"coldRemainingMs":500}}'
     )
-    beat = read_announcement(b'POST', target, body)
-    assert (beat.instance, beat.born, beat.slots) == ('i-1', 7, 3)
-    assert beat.state is UpstreamState.DRAINING
-    assert beat.cold == 0.5
-    left = b'/v1/rpc?call=instances.deregister&of=i-1'
-    assert read_announcement(b'POST', left, b'') == LeaveAnnouncement(
+    heartbeat = read_announcement(b'POST', target, body)
+    assert (heartbeat.instance, heartbeat.born, heartbeat.slots) == (
+        'i-1',
+        7,
+        3,
+    )
+    assert heartbeat.state is UpstreamState.DRAINING
+    assert heartbeat.cold == 0.5
+    leave = b'/v1/rpc?call=instances.deregister&of=i-1'
+    assert read_announcement(b'POST', leave, b'') == LeaveAnnouncement(
         instance='i-1', born=0
     )
-    for bad in (b'', b'{', b'{"address":"x"}', body.replace(b'3}', b'0}')):
-        found = read_announcement(b'POST', target, bad)
+    for invalid in (b'', b'{', b'{"address":"x"}', body.replace(b'3}', b'0}')):
+        found = read_announcement(b'POST', target, invalid)
         assert isinstance(found, InvalidAnnouncement)
         assert found.reason
 
@@ -126,43 +132,45 @@
     )
 
 
-def read_back(data):
-    ends = (0).to_bytes(8, 'big') * 2
-    newest = {one.key: one for one in decode_page(ends + data, 0).records}
+def decode_newest(data):
+    header = (0).to_bytes(8, 'big') * 2
+    newest = {
+        record.key: record for record in decode_page(header + data, 0).records
+    }
     return newest, decode_members(newest.values())
 
 
 @pytest.mark.parametrize('count', [0, 1, 500, 501, 1700])
-def test_the_members_of_a_zone_are_kept_together(count):
+def test_the_members_of_a_zone_are_saved_in_few_records(count):
     members = [make_member(f'vm{number}') for number in range(count)]
-    newest, found = read_back(encode_zone('z', members, ()))
-    assert {member.vm for member in found} == {one.vm for one in members}
-    assert len([one for one in newest.values() if one.value]) <= 4
-    assert all(len(one.value) < 262_144 for one in newest.values())
+    newest, found = decode_newest(encode_zone('z', members, ()))
+    assert {member.vm for member in found} == {made.vm for made in members}
+    assert len([record for record in newest.values() if record.value]) <= 4
+    assert all(len(record.value) < 262_144 for record in newest.values())
 
 
-def test_a_zone_that_shrinks_leaves_no_former_members():
+def test_a_zone_that_shrinks_keeps_no_former_members():
     before = [make_member(f'vm{number}') for number in range(700)]
     data = encode_zone('z', before, ()) + encode_zone('z', before[:3], ())
-    assert len(read_back(data)[1]) == 3
+    assert len(decode_newest(data)[1]) == 3
 
 
-def test_the_newest_record_of_a_member_counts_wherever_it_stands():
-    # A daemon that wrote that its upstream leaves has a record of its own. A
-    # reader that has not heard of that yet saves the zone with an older one.
+def test_the_newest_record_of_a_member_is_used_wherever_it_is_saved():
+    # A daemon has saved its own record, because its upstream leaves. A reader
+    # that does not know this yet saves the zone with an older record.
     older, newer = make_member('vm1'), make_member('vm1', incarnation=2)
     data = encode_member(newer) + encode_zone('z', [older], ())
-    assert read_back(data)[1] == (newer,)
+    assert decode_newest(data)[1] == (newer,)
 
 
-def test_an_announcement_ends_once_its_zone_is_saved():
-    one = make_member('vm1')
-    data = encode_announcement(one)
-    assert read_back(data)[1] == (one,)
-    newest, found = read_back(data + encode_zone('z', [one], ['vm1']))
-    assert found == (one,)
+def test_an_announcement_is_deleted_once_its_zone_is_saved():
+    member = make_member('vm1')
+    data = encode_announcement(member)
+    assert decode_newest(data)[1] == (member,)
+    newest, found = decode_newest(data + encode_zone('z', [member], ['vm1']))
+    assert found == (member,)
     assert len([record for record in newest.values() if record.value]) == 1
 
 
-def test_a_record_of_another_version_of_the_program_names_nobody():
-    assert read_back(encode_record('vm1', b'{"vm": 7}'))[1] == ()
+def test_a_record_in_an_unknown_format_has_no_members():
+    assert decode_newest(encode_record('vm1', b'{"vm": 7}'))[1] == ()
--- a/deploy/tests/test_comments.py
+++ b/deploy/tests/test_comments.py
@@ -1,4 +1,4 @@
-"""Comments give reasons; how a value was chosen stands in commits."""
+"""Comments give reasons; how a value was chosen belongs in commits."""
 
 import re
 from pathlib import Path
@@ -13,7 +13,7 @@
     'deploy/node',
 )
 COMMENT = re.compile(r'^\s*#')
-#: Trials, and figures of runs.
+#: Phrases that report trials or results of runs.
 STORY = re.compile(
     r'(were|was) seen|gains? little|cost up to|simulated|in trials?\b|'
     r'\bin the median\b|[Ww]ith (a fixed )?[0-9.]+ ?(k?B|m?s)?,|'
--- a/deploy/tests/test_fleet.py
+++ b/deploy/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a site: daemons in step, behind, cut off."""
+"""Reports to operators: daemons that are in step, behind or unreachable."""
 
 import re
 from functools import partial
@@ -16,13 +16,13 @@
     return PlatformStore(parse_address(site.store.address))
 
 
-def test_daemons_that_run_what_was_published(play):
-    async def scene(site):
-        await site.add('vm1')
-        await site.add('vm2', zone='z2', version='v2')
-        await site.settled()
-        await site.saved()
-        await site.in_force(1)
+def test_daemons_with_the_published_configuration_are_in_step(run_scenario):
+    async def scenario(site):
+        await site.add_vm('vm1')
+        await site.add_vm('vm2', zone='z2', version='v2')
+        await site.wait_until_converged()
+        await site.wait_until_saved()
+        await site.wait_until_configured(1)
         report = (await find_fleet(open_store(site))).unwrap()
         assert report.code is ExitCode.OK
         assert report.lines[:2] == (
@@ -35,43 +35,45 @@
             ['vm2', 'z2', 'entries', 'v2', 'ready', '-', 'in', 'step'],
         ]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_daemon_that_was_killed_is_out_of_reach(play):
-    # Its record stays in the store; an operator must not read it as one
-    # that runs.
-    async def scene(site):
-        await site.add('vm1')
-        gone = await site.add('vm2')
-        await site.settled()
-        await site.saved()
-        await gone.kill()
+def test_a_killed_daemon_is_reported_as_out_of_reach(run_scenario):
+    # The record of the daemon stays in the store, but the report must not show
+    # it as running.
+    async def scenario(site):
+        await site.add_vm('vm1')
+        killed = await site.add_vm('vm2')
+        await site.wait_until_converged()
+        await site.wait_until_saved()
+        await killed.kill()
         report = (await find_fleet(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('out of reach')
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_daemon_that_hears_no_news_is_behind(play, kit):
-    async def scene(site):
-        vm = await site.add('vm1')
-        await site.in_force(1)
+def test_a_daemon_without_the_newest_configuration_is_behind(
+    run_scenario, factories
+):
+    async def scenario(site):
+        vm = await site.add_vm('vm1')
+        await site.wait_until_configured(1)
         await vm.daemon._context.store.close()
         vm.daemon._follower._desired_state.apply_configuration = lambda *_: (
             False
         )
-        site.store.write_as_operator('config', kit.document(2))
+        site.store.write_as_operator('config', factories.document(2))
         report = (await find_fleet(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('1, behind')
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_moves_with_and_without_a_verdict(play):
-    async def scene(site):
+def test_moves_are_reported_with_and_without_a_verdict(run_scenario):
+    async def scenario(site):
         site.store.write_as_operator(
             'rollout/entries',
             {'service': 'entries', 'targetVersion': 'v2', 'durationS': 12},
@@ -88,26 +90,28 @@
         report = (await find_moves(store)).unwrap()
         assert report.lines[1].endswith('taken-back')
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_store_that_is_down_is_told(play):
-    async def scene(site):
+def test_an_unavailable_store_is_reported(run_scenario):
+    async def scenario(site):
         site.store.is_down = True
         error = (await find_fleet(open_store(site))).failure()
         assert error.code is ExitCode.UNAVAILABLE
         error = (await find_moves(open_store(site))).failure()
         assert error.code is ExitCode.UNAVAILABLE
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_operator_sees_which_upstream_is_limited_and_since_when(play):
-    """Guards against a limit that only the owner's log tells of."""
+def test_the_report_shows_which_upstream_is_limited_and_since_when(
+    run_scenario,
+):
+    """Guards against a limit that only the owner's log mentions."""
 
-    async def scene(site):
-        vm = await site.add('vm1')
-        await site.in_force(1)
+    async def scenario(site):
+        vm = await site.add_vm('vm1')
+        await site.wait_until_configured(1)
         vm.upstream.limit = 2.5
         await vm.call('/lookup/0', id='r0')
         async with trio.open_nursery() as nursery:
@@ -115,15 +119,15 @@
                 nursery.start_soon(
                     partial(vm.call, '/lookup/1', id=f'r{number}')
                 )
-        await site.saved()
+        await site.wait_until_saved()
         report = (await find_fleet(open_store(site))).unwrap()
         row = next(line for line in report.lines if line.startswith('vm1'))
         assert re.search(r'2\.5/s since \d{4}-\d\d-\d\dT', row)
-        told = await vm.connect(4)
-        await told.send(b'GET /metrics HTTP/1.1\r\nHost: vm1\r\n\r\n')
-        text = (await told.answer()).body.decode()
+        connection = await vm.connect(4)
+        await connection.send(b'GET /metrics HTTP/1.1\r\nHost: vm1\r\n\r\n')
+        text = (await connection.answer()).body.decode()
         assert 'verbenamill_upstream_limit 2.5' in text
         assert re.search(r'verbenamill_upstream_limit_sent [1-9]', text)
         assert re.search(r'verbenamill_upstream_limit_refused [1-9]', text)
 
-    play(scene, clock=MockClock(autojump_threshold=0))
+    run_scenario(scenario, clock=MockClock(autojump_threshold=0))
--- a/deploy/tests/test_poisonous_records.py
+++ b/deploy/tests/test_invalid_input.py
@@ -1,4 +1,4 @@
-"""Records of the store and datagrams that must not stop who reads them."""
+"""Invalid records and datagrams, which must not stop the daemons."""
 
 import json
 
@@ -30,7 +30,7 @@
     'maxAttempts',
     'trafficSplit',
 )
-cells = st.sampled_from(
+cell_values = st.sampled_from(
     [
         *(None, '', 'r', '/', '/a/', 'shop', 'idempotent', 'entries'),
         *(0, 1, -1, 1500, 1e308, True),
@@ -38,11 +38,11 @@
         *([{'service': 's', 'weight': -1}], {}, [[]]),
     ],
 )
-good = ('r', 'shop', '/a/', 'idempotent', 1500, 500, 1, 'entries', 2, None)
-rows = st.tuples(st.integers(0, len(COLUMNS) - 1), cells).map(
+valid_row = ('r', 'shop', '/a/', 'idempotent', 1500, 500, 1, 'entries', 2, None)
+changed_rows = st.tuples(st.integers(0, len(COLUMNS) - 1), cell_values).map(
     lambda change: [
         change[1] if place == change[0] else cell
-        for place, cell in enumerate(good)
+        for place, cell in enumerate(valid_row)
     ],
 )
 values = st.recursive(
@@ -56,12 +56,14 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.lists(rows, max_size=3), st.sampled_from(['1', '00ff', 'x', '']))
-def test_a_configuration_is_used_whole_or_refused(found, version):
-    """Guards against a configuration that stops each daemon that reads it."""
+@given(
+    st.lists(changed_rows, max_size=3), st.sampled_from(['1', '00ff', 'x', ''])
+)
+def test_a_configuration_is_used_completely_or_rejected(drawn_rows, version):
+    """Guards against a configuration that crashes each daemon that reads it."""
     document = {
         'version': version,
-        'routes': {'columns': COLUMNS, 'rows': found},
+        'routes': {'columns': COLUMNS, 'rows': drawn_rows},
         'services': {'columns': ['name'], 'rows': [['entries']]},
     }
     try:
@@ -76,10 +78,10 @@
 
 
 @pytest.mark.parametrize('weights', [[], [0], [0, 0], [-1], [0, 2]])
-def test_a_route_without_a_destination_is_refused(weights):
-    """Guards against a route whose every request ends in a fault."""
+def test_a_route_without_a_destination_is_rejected(weights):
+    """Guards against a route whose requests all raise an error."""
     split = [{'service': 's', 'weight': weight} for weight in weights]
-    row = [*good[:7], None, 2, split]
+    row = [*valid_row[:7], None, 2, split]
     document = {
         'version': '1',
         'routes': {'columns': COLUMNS, 'rows': [row]},
@@ -96,16 +98,16 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(values)
-def test_records_of_other_writers_are_refused(value):
-    """Guards against a record that stops each daemon that reads it."""
+def test_records_of_other_writers_are_rejected(value):
+    """Guards against a record that crashes each daemon that reads it."""
     data = json.dumps(value).encode()
-    for read in (
+    for decode in (
         decode_configuration,
-        lambda told: decode_order('rollout/s', told, 1),
-        lambda told: decode_settled_order('rollout/s', told),
+        lambda value_bytes: decode_order('rollout/s', value_bytes, 1),
+        lambda value_bytes: decode_settled_order('rollout/s', value_bytes),
     ):
         try:
-            read(data)
+            decode(data)
         except ValueError:
             continue
 
@@ -121,8 +123,8 @@
 tags = [kind.__struct_config__.tag for kind in Message.__args__]
 
 
-def test_a_datagram_stops_no_daemon(play):
-    """Guards against a datagram that stops each daemon that gets it."""
+def test_no_datagram_crashes_a_daemon(run_scenario):
+    """Guards against a datagram that crashes each daemon that receives it."""
 
     @settings(derandomize=True, max_examples=400, deadline=None, database=None)
     @given(st.sampled_from(tags), st.lists(bodies, max_size=8))
@@ -134,12 +136,12 @@
             return
         gossip._handle(message, Address('127.0.0.1', 9))
 
-    async def scene(site):
-        vm = await site.add('vm0')
-        await site.add('vm1', zone='z2')
-        await site.settled()
+    async def scenario(site):
+        vm = await site.add_vm('vm0')
+        await site.add_vm('vm1', zone='z2')
+        await site.wait_until_converged()
         handle_any(vm.daemon._gossip)
         await trio.sleep(3)
         assert (await vm.call('/lookup/1')).status in (200, 503)
 
-    play(scene, clock=MockClock(autojump_threshold=0))
+    run_scenario(scenario, clock=MockClock(autojump_threshold=0))
--- a/deploy/tests/test_moves.py
+++ b/deploy/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Moves as operators see them: done, taken back, written once."""
+"""Moves to another version: completed or rolled back, and reported once."""
 
 import pytest
 import trio
@@ -6,7 +6,7 @@
 from verbenamill_platform_standins.http_server import HttpResponse
 
 
-def order(site, window):
+def order_move(site, window):
     site.store.write_as_operator(
         'rollout/entries',
         {'service': 'entries', 'targetVersion': 'v2', 'durationS': window},
@@ -17,56 +17,58 @@
     return site.store.read('keyed.status', 'rollout/entries')
 
 
-async def load(vms, stop):
-    """Callers on all VMs until told to stop."""
+async def send_requests(vms, stopping):
+    """Send requests to all VMs until the event is set."""
 
-    async def one(vm, place):
+    async def call_repeatedly(vm, place):
         number = 0
-        while not stop.is_set():
+        while not stopping.is_set():
             number += 1
             await vm.call(f'/lookup/{number}', id=f'{vm.name}-{place}-{number}')
 
     async with trio.open_nursery() as nursery:
         for vm in vms:
             for place in range(3):
-                nursery.start_soon(one, vm, place)
+                nursery.start_soon(call_repeatedly, vm, place)
 
 
-async def make_versions(site):
-    old = [await site.add(f'old{n}', service_time=0.01) for n in range(2)]
+async def start_versions(site):
+    old = [await site.add_vm(f'old{n}', service_time=0.01) for n in range(2)]
     new = [
-        await site.add(f'new{n}', service_time=0.01, version='v2')
+        await site.add_vm(f'new{n}', service_time=0.01, version='v2')
         for n in range(2)
     ]
-    await site.settled()
+    await site.wait_until_converged()
     return old, new
 
 
-async def until_told(site, states):
-    async def is_told():
+async def wait_until_reported(site, states):
+    async def is_reported():
         status = status_of(site)
         return status is not None and status['state'] in states
 
-    await site.until(is_told)
+    await site.wait_until(is_reported)
 
 
 @pytest.mark.parametrize('fails', [False, True])
-def test_a_good_version_is_done_and_a_bad_one_is_taken_back(play, fails):
-    async def scene(site):
-        old, new = await make_versions(site)
+def test_a_good_version_is_completed_and_a_bad_one_is_rolled_back(
+    run_scenario, fails
+):
+    async def scenario(site):
+        old, new = await start_versions(site)
         if fails:
             for vm in new:
-                vm.upstream.script = lambda asked: HttpResponse(
+                vm.upstream.script = lambda _: HttpResponse(
                     500,
                     {'X-Response-Seal': 's'},
                     b'',
                 )
-        stop = trio.Event()
+        stopping = trio.Event()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(load, old, stop)
-            order(site, 5)
-            await until_told(site, {'complete', 'rolled_back'})
-            stop.set()
+            nursery.start_soon(send_requests, old, stopping)
+            order_move(site, 5)
+            await wait_until_reported(site, {'complete', 'rolled_back'})
+            stopping.set()
         status = status_of(site)
         assert status['targetVersion'] == 'v2'
         assert status['state'] == ('rolled_back' if fails else 'complete')
@@ -78,15 +80,17 @@
         assert before == [len(vm.upstream.executions) for vm in gone]
         assert all(vm.upstream.executions for vm in kept)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_version_without_an_order_gets_nothing_once_it_was_taken_back(play):
-    # All daemons are started again after a move was taken back. They know
-    # the verdict from the store only, and the bad version still runs.
-    async def scene(site):
-        old, new = await make_versions(site)
-        await site.saved()
+def test_a_version_that_was_rolled_back_gets_no_requests_after_restarts(
+    run_scenario,
+):
+    # All daemons restart after a move was rolled back. They know the verdict
+    # only from the store, and upstreams of the bad version still run.
+    async def scenario(site):
+        old, new = await start_versions(site)
+        await site.wait_until_saved()
         site.store.topic('keyed.status').append(
             'rollout/entries',
             b'{"state": "rolled_back", "targetVersion": "v2", "order": 99}',
@@ -95,32 +99,32 @@
             await vm.kill()
         for vm in (*old, *new):
             await vm.start()
-        await site.settled()
-        await site.in_force(1)
+        await site.wait_until_converged()
+        await site.wait_until_configured(1)
         for number in range(10):
             answer = await new[0].call(f'/lookup/{number}', id=f'n{number}')
             assert answer.status == 200
         assert not any(vm.upstream.executions for vm in new)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_lost_answer_to_a_verdict_does_not_double_it(play):
-    async def scene(site):
-        old, _ = await make_versions(site)
-        stop = trio.Event()
+def test_a_verdict_whose_write_response_is_lost_is_written_once(run_scenario):
+    async def scenario(site):
+        old, _ = await start_versions(site)
+        stopping = trio.Event()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(load, old, stop)
+            nursery.start_soon(send_requests, old, stopping)
             site.store.answers_to_drop = 1
-            order(site, 3)
-            await until_told(site, {'complete', 'rolled_back'})
+            order_move(site, 3)
+            await wait_until_reported(site, {'complete', 'rolled_back'})
             await trio.sleep(0.5)
-            stop.set()
-        told = [
+            stopping.set()
+        verdicts = [
             value
             for _, value in site.store.topic('keyed.status').records
             if b'running' not in value
         ]
-        assert len(told) == 1
+        assert len(verdicts) == 1
 
-    play(scene)
+    run_scenario(scenario)
--- a/deploy/tests/test_named_limits.py
+++ b/deploy/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that name a limit, or a leave, in their answers."""
+"""Upstreams that name a limit, or announce a leave, in their responses."""
 
 from itertools import count
 from typing import NamedTuple
@@ -6,22 +6,22 @@
 import trio
 from trio.testing import MockClock
 
-#: What the platform allows beyond a named limit: a factor and requests, in a
-#: span of time that begins this long after the limit was first named, in s.
+#: In any span of SPAN_S seconds, from GRACE_S seconds after a limit was
+#: first named, the platform allows FACTOR times the limit plus SLACK requests.
 FACTOR = 1.5
 SLACK = 5
-SPAN = 4.0
-GRACE = 3.0
-#: How long an upstream still takes work after it was said that it leaves, in s.
-DRAIN = 2.0
-#: Time of a run, in seconds.
-WORK = 0.05
-#: Share of a limit that has to be used while there is more work than that.
-USED = 0.8
+SPAN_S = 4.0
+GRACE_S = 3.0
+#: Time for which an upstream accepts requests after its leave is announced.
+DRAIN_S = 2.0
+#: Service time of a request, in seconds.
+SERVICE_TIME = 0.05
+#: Minimum share of a limit that must be used while the load exceeds the limit.
+MIN_USED_SHARE = 0.8
 
 
-class Answered(NamedTuple):
-    """A request and what its caller got."""
+class CompletedCall(NamedTuple):
+    """A request and the response to its caller."""
 
     id: str
     began: float
@@ -30,7 +30,7 @@
 
 
 class Load:
-    """Callers at some daemons, each with one request at a time."""
+    """Callers at several daemons, each with one request at a time."""
 
     def __init__(self, vms, *, pause, path='/lookup/'):
         self.vms = vms
@@ -40,7 +40,7 @@
         self._ids = count()
 
     async def run(self, callers=2):
-        """Call until cancelled."""
+        """Send requests until cancelled."""
         async with trio.open_nursery() as nursery:
             for vm in self.vms:
                 for _ in range(callers):
@@ -56,11 +56,11 @@
                 await trio.sleep(0.1)
                 continue
             took = trio.current_time() - began
-            self.answers.append(Answered(id, began, took, answer))
+            self.answers.append(CompletedCall(id, began, took, answer))
             await trio.sleep(self._pause)
 
-    def served(self, since=0):
-        """Share of the requests since a moment that got their answer."""
+    def success_share(self, since=0):
+        """Return the share of successful requests since a point in time."""
         statuses = [
             one.answer.status for one in self.answers if one.began >= since
         ]
@@ -68,50 +68,50 @@
 
 
 async def open_fleet(site, *, vms=4, zones=2, **more):
-    """A fleet of one service."""
-    more.setdefault('service_time', WORK)
-    made = [
-        await site.add(f'vm{place}', zone=f'z{place % zones + 1}', **more)
+    """Start a fleet of one service."""
+    more.setdefault('service_time', SERVICE_TIME)
+    fleet = [
+        await site.add_vm(f'vm{place}', zone=f'z{place % zones + 1}', **more)
         for place in range(vms)
     ]
-    await site.settled()
-    await site.in_force(1)
-    return made
+    await site.wait_until_converged()
+    await site.wait_until_configured(1)
+    return fleet
 
 
-def most_in_span(upstream, since):
-    """Most arrivals in any span that begins after a moment."""
+def max_in_span(upstream, since):
+    """Return the maximum arrivals in any span after a point in time."""
     times = [one.at for one in upstream.arrivals if one.at >= since]
-    most = 0
+    highest = 0
     first = 0
     for place, at in enumerate(times):
-        while times[first] < at - SPAN:
+        while times[first] < at - SPAN_S:
             first += 1
-        most = max(most, place - first + 1)
-    return most
+        highest = max(highest, place - first + 1)
+    return highest
 
 
-def allowed(rate):
-    return FACTOR * rate * SPAN + SLACK
+def max_allowed(rate):
+    return FACTOR * rate * SPAN_S + SLACK
 
 
 def count_since(upstream, since):
     return sum(one.at >= since for one in upstream.arrivals)
 
 
-async def check_use(vm):
-    """Check that a limit of the past holds nothing up in the time to come.
+async def check_unthrottled(vm):
+    """Check that a limit that has ended no longer throttles an upstream.
 
-    There must be more work than the fleet takes.
+    The load must exceed the capacity of the fleet.
     """
     began = trio.current_time()
-    await trio.sleep(SPAN)
-    takes = vm.upstream.slots / vm.upstream.service_time * SPAN
-    assert count_since(vm.upstream, began) > 0.5 * takes
+    await trio.sleep(SPAN_S)
+    fleet_capacity = vm.upstream.slots / vm.upstream.service_time * SPAN_S
+    assert count_since(vm.upstream, began) > 0.5 * fleet_capacity
 
 
-def play_fleet(play, scene, *, callers=2, pause=0.05, **more):
-    """Play a scene on a fleet that has much work."""
+def run_on_fleet(run_scenario, scenario, *, callers=2, pause=0.05, **more):
+    """Run a scenario on a fleet under load."""
 
     async def main(site):
         vms = await open_fleet(site, **more)
@@ -119,75 +119,84 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(load.run, callers)
             await trio.sleep(1)
-            await scene(site, vms, load)
+            await scenario(site, vms, load)
             nursery.cancel_scope.cancel()
 
-    play(main, clock=MockClock(autojump_threshold=0))
+    run_scenario(main, clock=MockClock(autojump_threshold=0))
 
 
-def test_an_upstream_gets_no_more_than_the_limit_that_it_names(play):
-    """Guards against a limit that nobody heeds, or that is left unused."""
+def test_an_upstream_gets_requests_up_to_its_named_limit(run_scenario):
+    """Guards against a limit that is exceeded, or that is not used up."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 5
-        named_at = trio.current_time()
-        await trio.sleep(GRACE + 3 * SPAN)
-        assert most_in_span(limited, named_at + GRACE) <= allowed(5)
-        spent = trio.current_time() - named_at - GRACE
-        assert count_since(limited, named_at + GRACE) >= USED * 5 * spent
-        assert load.served(named_at) > 0.99
+        limit_named_at = trio.current_time()
+        await trio.sleep(GRACE_S + 3 * SPAN_S)
+        assert max_in_span(limited, limit_named_at + GRACE_S) <= max_allowed(5)
+        spent = trio.current_time() - limit_named_at - GRACE_S
+        assert (
+            count_since(limited, limit_named_at + GRACE_S)
+            >= MIN_USED_SHARE * 5 * spent
+        )
+        assert load.success_share(limit_named_at) > 0.99
 
-    play_fleet(play, scene)
+    run_on_fleet(run_scenario, scenario)
 
 
-def test_a_limit_outlives_the_daemon_of_its_upstream(play):
-    """Guards against a restart of the owner that forgets a limit."""
+def test_a_limit_survives_restarts_of_the_upstream_s_daemon(run_scenario):
+    """Guards against a limit that is lost when the owner restarts."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 2.3
         limited.service_time = 0.2
-        named_at = trio.current_time()
-        await trio.sleep(GRACE)
+        limit_named_at = trio.current_time()
+        await trio.sleep(GRACE_S)
         for _ in range(4):
             await vms[0].kill()
             await vms[0].start()
-            await vms[0].beat()
+            await vms[0].send_heartbeat()
             await trio.sleep(1.5)
-        await trio.sleep(SPAN)
-        assert most_in_span(limited, named_at + GRACE) <= allowed(2.3)
-        assert count_since(limited, named_at + GRACE) >= 5
+        await trio.sleep(SPAN_S)
+        assert max_in_span(limited, limit_named_at + GRACE_S) <= max_allowed(
+            2.3
+        )
+        assert count_since(limited, limit_named_at + GRACE_S) >= 5
 
-    play_fleet(play, scene)
+    run_on_fleet(run_scenario, scenario)
 
 
-def test_a_limit_that_ends_is_forgotten(play):
-    """Guards against an upstream that is throttled for good."""
+def test_a_limit_that_is_no_longer_named_ends(run_scenario):
+    """Guards against an upstream that is throttled forever."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 2
-        await trio.sleep(GRACE + SPAN)
+        await trio.sleep(GRACE_S + SPAN_S)
         limited.limit = None
         await trio.sleep(2)
-        await check_use(vms[0])
+        await check_unthrottled(vms[0])
 
-    play_fleet(play, scene, callers=6, service_time=0.2)
+    run_on_fleet(run_scenario, scenario, callers=6, service_time=0.2)
 
 
-def test_where_all_are_at_their_limits_the_rest_is_refused_at_once(play):
-    """Guards against callers that wait for upstreams that take no more."""
+def test_requests_beyond_the_limits_of_all_upstreams_are_rejected_at_once(
+    run_scenario,
+):
+    """Guards against callers that wait for upstreams at their limits."""
 
-    async def scene(site, vms, load):
-        named_at = trio.current_time()
+    async def scenario(site, vms, load):
+        limit_named_at = trio.current_time()
         for vm in vms:
             vm.upstream.limit = 4
-        await trio.sleep(GRACE + SPAN)
-        since = named_at + GRACE
+        await trio.sleep(GRACE_S + SPAN_S)
+        since = limit_named_at + GRACE_S
         for vm in vms:
-            assert most_in_span(vm.upstream, since) <= allowed(4)
-            assert count_since(vm.upstream, since) >= USED * 4 * SPAN
+            assert max_in_span(vm.upstream, since) <= max_allowed(4)
+            assert (
+                count_since(vm.upstream, since) >= MIN_USED_SHARE * 4 * SPAN_S
+            )
         refused = [
             one
             for one in load.answers
@@ -200,77 +209,79 @@
         for one in refused:
             assert float(one.answer.headers['retry-after']) > 0
 
-    play_fleet(play, scene, callers=10, pause=0.4)
+    run_on_fleet(run_scenario, scenario, callers=10, pause=0.4)
 
 
-def test_a_new_start_of_an_upstream_has_no_limit(play):
-    """Guards against the limit of a start that has ended."""
+def test_a_restarted_upstream_has_no_limit(run_scenario):
+    """Guards against a limit that outlives the process that named it."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 1
-        await trio.sleep(GRACE)
+        await trio.sleep(GRACE_S)
         limited.limit = None
         limited.born += 1
         limited.sequence = 0
-        await vms[0].beat()
+        await vms[0].send_heartbeat()
         assert vms[0].daemon._own_upstream.limits.limit is None
-        await check_use(vms[0])
+        await check_unthrottled(vms[0])
 
-    play_fleet(play, scene, callers=6, service_time=0.2)
+    run_on_fleet(run_scenario, scenario, callers=6, service_time=0.2)
 
 
-def test_an_upstream_that_takes_nothing_is_asked_now_and_then(play):
-    """Guards against a limit of 0 that never ends, or is not kept."""
+def test_an_upstream_with_a_limit_of_zero_is_probed(run_scenario):
+    """Guards against a limit of 0 that never ends, or is exceeded."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 0
-        named_at = trio.current_time()
-        await trio.sleep(GRACE + 5 * SPAN)
-        assert most_in_span(limited, named_at + GRACE) <= SLACK
+        limit_named_at = trio.current_time()
+        await trio.sleep(GRACE_S + 5 * SPAN_S)
+        assert max_in_span(limited, limit_named_at + GRACE_S) <= SLACK
         limited.limit = None
         await trio.sleep(10)
-        await check_use(vms[0])
+        await check_unthrottled(vms[0])
 
-    play_fleet(play, scene, callers=6, service_time=0.2)
+    run_on_fleet(run_scenario, scenario, callers=6, service_time=0.2)
 
 
-def test_what_a_caller_says_of_limits_means_nothing(play):
-    """Guards against callers that throttle an upstream, or have it leave."""
+def test_limit_headers_of_callers_are_ignored(run_scenario):
+    """Guards against callers that throttle an upstream or mark it leaving."""
 
-    async def scene(site):
-        vm = await site.add('vm1')
-        await site.in_force(1)
+    async def scenario(site):
+        vm = await site.add_vm('vm1')
+        await site.wait_until_configured(1)
         extra = ['Server-Limit: 0', 'Server-Leaving: 1']
         for number in range(20):
             answer = await vm.call('/lookup/1', id=f'r{number}', extra=extra)
             assert answer.status == 200
 
-    play(scene, clock=MockClock(autojump_threshold=0))
+    run_scenario(scenario, clock=MockClock(autojump_threshold=0))
 
 
-def test_a_daemon_that_forgot_a_limit_hears_of_it_with_a_request(play):
-    """Guards against starts of the owner that nobody could remind.
+def test_a_restarted_daemon_learns_a_limit_from_forwarded_requests(
+    run_scenario,
+):
+    """Guards against restarts of the owner that lose a limit.
 
-    Neither the store nor datagrams bring it what it forgot.
+    The owner gets the limit neither from the store nor from datagrams.
     """
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         limited.limit = 2.3
         limited.service_time = 0.6
-        await trio.sleep(GRACE)
+        await trio.sleep(GRACE_S)
         site.store.is_down = True
         for vm in vms[1:]:
             vm.daemon._gossip._send = lambda *_: None
         for _ in range(3):
             await vms[0].kill()
             await vms[0].start()
-            await vms[0].beat()
+            await vms[0].send_heartbeat()
             started_at = trio.current_time()
             await trio.sleep(0.6)
-            # Requests that begin at the VM itself have nobody to tell it.
+            # Requests from the VM itself do not carry the limit to it.
             passed_on = [
                 one
                 for one in limited.arrivals
@@ -278,17 +289,17 @@
             ]
             assert len(passed_on) <= 2
 
-    play_fleet(play, scene, slots=30, callers=6)
+    run_on_fleet(run_scenario, scenario, slots=30, callers=6)
 
 
-def test_an_owner_that_knows_of_no_limit_does_not_end_one(play):
-    """Guards against refusals of a new start that pass for 'no limit'."""
+def test_an_owner_that_does_not_know_a_limit_does_not_end_it(run_scenario):
+    """Guards against a restarted owner's rejection read as 'no limit'."""
 
-    async def scene(site):
-        limited = await site.add('vm0')
-        caller = await site.add('vm1', service='catalog')
-        await site.settled()
-        await site.in_force(1)
+    async def scenario(site):
+        limited = await site.add_vm('vm0')
+        caller = await site.add_vm('vm1', service='catalog')
+        await site.wait_until_converged()
+        await site.wait_until_configured(1)
         limited.upstream.limit = 5
         assert (await caller.call('/lookup/1')).status == 200
         peer = caller.daemon._peers.get('vm0')
@@ -301,89 +312,97 @@
         assert (await caller.call('/lookup/2')).status == 503
         assert peer.limit_of(upstream).rate == 5
 
-    play(scene, clock=MockClock(autojump_threshold=0))
+    run_scenario(scenario, clock=MockClock(autojump_threshold=0))
 
 
-def test_a_limit_that_falls_is_kept(play):
-    """Guards against a burst of what an upstream took a moment ago."""
+def test_a_limit_that_falls_is_observed(run_scenario):
+    """Guards against a burst at the rate that was allowed before."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         limited = vms[0].upstream
         for rate in (30, 20, 10, 3):
             limited.limit = rate
             await trio.sleep(2)
         fell_at = trio.current_time()
-        await trio.sleep(2 * SPAN)
-        assert most_in_span(limited, fell_at) <= allowed(3)
+        await trio.sleep(2 * SPAN_S)
+        assert max_in_span(limited, fell_at) <= max_allowed(3)
         spent = trio.current_time() - fell_at
-        assert count_since(limited, fell_at) >= USED * 3 * spent
+        assert count_since(limited, fell_at) >= MIN_USED_SHARE * 3 * spent
 
-    play_fleet(play, scene)
+    run_on_fleet(run_scenario, scenario)
 
 
-def test_an_upstream_that_says_in_band_that_it_leaves_gets_no_new_work(play):
-    """Guards against work for an upstream whose answers say that it leaves."""
+def test_an_upstream_that_signals_its_leave_gets_no_new_requests(
+    run_scenario,
+):
+    """Guards against requests to an upstream that signals its leave."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         leaving = vms[0].upstream
         leaving.signals_leaving = True
-        said_at = trio.current_time()
+        leave_signalled_at = trio.current_time()
         for _ in range(6):
             await trio.sleep(0.5)
-            await vms[0].beat()
-        assert not count_since(leaving, said_at + DRAIN)
-        assert load.served(said_at) > 0.99
+            await vms[0].send_heartbeat()
+        assert not count_since(leaving, leave_signalled_at + DRAIN_S)
+        assert load.success_share(leave_signalled_at) > 0.99
 
-    play_fleet(play, scene)
+    run_on_fleet(run_scenario, scenario)
 
 
-def test_a_leave_that_was_said_in_band_outlives_the_daemon(play):
-    """Guards against heartbeats that undo a leave after the owner's restart."""
+def test_a_leave_signalled_in_responses_survives_daemon_restarts(run_scenario):
+    """Guards against heartbeats that revoke a leave after a daemon restart."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         leaving = vms[0].upstream
         leaving.signals_leaving = True
-        said_at = trio.current_time()
+        leave_signalled_at = trio.current_time()
         await trio.sleep(1)
         for _ in range(4):
             await vms[0].kill()
             await vms[0].start()
-            await vms[0].beat()
+            await vms[0].send_heartbeat()
             await trio.sleep(1)
-        await vms[0].beat()
-        assert not count_since(leaving, said_at + DRAIN)
+        await vms[0].send_heartbeat()
+        assert not count_since(leaving, leave_signalled_at + DRAIN_S)
 
-    play_fleet(play, scene)
+    run_on_fleet(run_scenario, scenario)
 
 
-def test_runs_in_hand_end_when_an_upstream_says_that_it_leaves(play):
-    """Guards against runs that are cut, or waiting requests that are lost."""
+def test_running_requests_complete_when_an_upstream_signals_its_leave(
+    run_scenario,
+):
+    """Guards against cancelled runs and lost queued requests."""
 
-    async def scene(site, vms, load):
+    async def scenario(site, vms, load):
         leaving = vms[0].upstream
         while not leaving.running:
-            await trio.sleep(WORK)
-        said_at = trio.current_time()
+            await trio.sleep(SERVICE_TIME)
+        leave_signalled_at = trio.current_time()
         leaving.signals_leaving = True
-        await trio.sleep(DRAIN)
+        await trio.sleep(DRAIN_S)
         assert not leaving.running
-        assert load.served(said_at - 0.5) == 1
+        assert load.success_share(leave_signalled_at - 0.5) == 1
 
-    play_fleet(play, scene, service_time=0.3, slots=3)
+    run_on_fleet(run_scenario, scenario, service_time=0.3, slots=3)
 
 
-def test_a_limited_version_on_trial_leaves_its_requests_to_the_old_one(play):
-    """Guards against refusals for a version that gets few requests anyway."""
+def test_a_limited_version_under_rollout_leaves_requests_to_the_old_one(
+    run_scenario,
+):
+    """Guards against rejections due to a version that gets few requests."""
 
-    async def scene(site):
+    async def scenario(site):
         old = [
-            await site.add(f'old{place}', service_time=WORK, slots=30)
+            await site.add_vm(
+                f'old{place}', service_time=SERVICE_TIME, slots=30
+            )
             for place in range(2)
         ]
-        new = await site.add('new', version='v2', service_time=WORK)
+        new = await site.add_vm('new', version='v2', service_time=SERVICE_TIME)
         new.upstream.limit = 0.5
-        await site.settled()
-        await site.in_force(1)
+        await site.wait_until_converged()
+        await site.wait_until_configured(1)
         site.store.write_as_operator(
             'rollout/entries',
             {'service': 'entries', 'targetVersion': 'v2', 'durationS': 60},
@@ -395,4 +414,4 @@
         refused = [one for one in load.answers if one.answer.status != 200]
         assert not refused
 
-    play(scene, clock=MockClock(autojump_threshold=0))
+    run_scenario(scenario, clock=MockClock(autojump_threshold=0))
--- a/deploy/tests/test_starting.py
+++ b/deploy/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""The daemon's process before it serves."""
+"""The daemon's process during its startup."""
 
 import os
 import signal
@@ -6,15 +6,15 @@
 import sys
 
 
-def test_a_hangup_does_not_end_a_daemon_that_starts(tmp_path):
-    """Guards against a start that ends as the settings change."""
+def test_a_hangup_does_not_terminate_a_starting_daemon(tmp_path):
+    """Guards against SIGHUP, sent on changed settings, during a startup."""
     settings = tmp_path / 'daemon.toml'
     os.mkfifo(settings)
     process = subprocess.Popen(
         [sys.executable, '-m', 'verbenamill_node', str(settings)],
         stdout=subprocess.DEVNULL,
     )
-    # It opens once the daemon begins to read its settings.
+    # The FIFO opens once the daemon begins to read its settings.
     with settings.open('w') as file:
         process.send_signal(signal.SIGHUP)
         file.write('no settings')
