--- a/deploy/tests/conftest.py
+++ b/deploy/tests/conftest.py
@@ -140,8 +140,8 @@
     return answer
 
 
-class Caller:
-    """A caller with one connection."""
+class CallerConnection:
+    """The connection of a caller."""
 
     def __init__(self, stream):
         self._stream = stream
@@ -211,7 +211,7 @@
         self.ended.set()
 
     async def kill(self):
-        """Stop the daemon as SIGKILL would, without any cleanup."""
+        """Stop the daemon abruptly, as SIGKILL does."""
         self.scope.cancel()
         await self.ended.wait()
 
@@ -237,7 +237,7 @@
 
     async def connect(self, port_index=0):
         stream = await trio.open_tcp_stream('127.0.0.1', self.ports[port_index])
-        return Caller(stream)
+        return CallerConnection(stream)
 
     async def call(self, path, **more):
         caller = await self.connect()
@@ -297,7 +297,7 @@
     async def wait_until_converged(self):
         """Wait until all daemons know each other and all upstreams."""
 
-        async def is_settled():
+        async def is_converged():
             tables = [vm.daemon._table for vm in self.vms if vm.daemon]
             return all(
                 len(table) == len(self.vms)
@@ -305,7 +305,7 @@
                 for table in tables
             )
 
-        await self.wait_until(is_settled)
+        await self.wait_until(is_converged)
 
     async def wait_until_saved(self):
         """Wait until the store has the current record of each daemon."""
@@ -314,11 +314,13 @@
             topic = self.store.topic('keyed.verbenamill-members')
             newest = dict(topic.records)
             records = [Record(0, key, value) for key, value in newest.items()]
-            kept = {member.vm: member for member in decode_members(records)}
+            saved_members = {
+                member.vm: member for member in decode_members(records)
+            }
             own = [vm.daemon._gossip.own for vm in self.vms]
             return all(
-                record.vm in kept
-                and kept[record.vm].upstream == record.upstream
+                record.vm in saved_members
+                and saved_members[record.vm].upstream == record.upstream
                 for record in own
             )
 
@@ -327,12 +329,12 @@
     async def wait_until_configured(self, version):
         """Wait until all daemons use a version of the configuration."""
 
-        async def is_in_force():
+        async def is_configured():
             return all(
                 vm.daemon._desired_state.version == version for vm in self.vms
             )
 
-        await self.wait_until(is_in_force)
+        await self.wait_until(is_configured)
 
 
 @pytest.fixture
--- a/deploy/tests/test_failures.py
+++ b/deploy/tests/test_failures.py
@@ -23,7 +23,7 @@
         other = await site.add_vm('vm2')
         await site.wait_until_converged()
         for one in (vm, other):
-            one.upstream.script = lambda asked: HttpResponse(is_dropped=True)
+            one.upstream.script = lambda request: HttpResponse(is_dropped=True)
         answer = await vm.call('/fee/1', method='POST', body=b'5')
         assert answer.status == 502
         assert len(vm.upstream.executions) + len(other.upstream.executions) == 1
@@ -36,8 +36,8 @@
         vm = await site.add_vm('vm1')
         other = await site.add_vm('vm2')
         await site.wait_until_converged()
-        vm.upstream.script = lambda asked: HttpResponse(is_dropped=True)
-        other.upstream.script = lambda asked: None
+        vm.upstream.script = lambda request: HttpResponse(is_dropped=True)
+        other.upstream.script = lambda request: None
         for number in range(3):
             answer = await vm.call(f'/lookup/{number}', id=f'l{number}')
             assert answer.body == f'answer to l{number}'.encode()
@@ -56,8 +56,8 @@
             b'Content-Length: 5\r\n\r\nwrong'
         )
 
-        def answer(asked):
-            id = asked.headers['x-attempt-id'].encode()
+        def answer(request):
+            id = request.headers['x-attempt-id'].encode()
             right = (
                 b'HTTP/1.1 200 OK\r\nX-Attempt-Id: %b\r\nX-Response-Seal: s\r\n'
                 b'Content-Length: 5\r\n\r\nright' % id
@@ -85,7 +85,7 @@
             b'what is this\r\n\r\n',
         )
         for raw in invalid_responses:
-            vm.upstream.script = lambda asked, raw=raw: HttpResponse(raw=raw)
+            vm.upstream.script = lambda request, raw=raw: HttpResponse(raw=raw)
             answer = await vm.call('/fee/1', method='POST')
             assert answer.status == 502
 
@@ -99,7 +99,7 @@
             b'HTTP/1.1 200 OK\r\nX-Attempt-Id: r1\r\nX-Response-Seal: s\r\n'
             b'Connection: close\r\n\r\nto the end'
         )
-        vm.upstream.script = lambda asked: HttpResponse(raw=raw)
+        vm.upstream.script = lambda request: HttpResponse(raw=raw)
         answer = await vm.call('/lookup/1')
         assert (answer.status, answer.body) == (200, b'to the end')
         assert answer.headers['content-length'] == '10'
@@ -447,11 +447,11 @@
         await site.wait_until_configured(1)
         before = len(site.store.calls)
 
-        async def has_asked():
+        async def has_called():
             return len(site.store.calls) > before
 
         site.store.is_silent = True
-        await site.wait_until(has_asked)
+        await site.wait_until(has_called)
         site.store.is_silent = False
         site.store.write_as_operator('config', factories.document(2))
         await site.wait_until_configured(2)
@@ -549,8 +549,8 @@
         await site.wait_until_converged()
         await site.wait_until_configured(1)
         follower = second.daemon._follower
-        follower._store.read_from = _never
-        follower._store.read_newest = _never
+        follower._store.read_from = _hang
+        follower._store.read_newest = _hang
         await trio.sleep(LONG_POLL_TIMEOUT + LONG_POLL_GRACE)
         site.store.is_down = True
 
@@ -558,7 +558,7 @@
             return first.daemon._follower.is_store_lost
 
         await site.wait_until(is_lost)
-        first.daemon._gossip._compare = _never
+        first.daemon._gossip._compare = _hang
         site.store.write_as_operator('config', factories.document(2))
         site.store.is_down = False
         await site.wait_until_configured(2)
@@ -566,7 +566,7 @@
     run_scenario(scenario)
 
 
-async def _never(*_):
+async def _hang(*_):
     await trio.sleep_forever()
 
 
@@ -580,7 +580,7 @@
 
     async def scenario(site):
         vm = await site.add_vm(
-            'vm1', crashes_on=lambda asked: asked.path == '/lookup/x'
+            'vm1', crashes_on=lambda request: request.path == '/lookup/x'
         )
         await site.wait_until_configured(1)
         assert (await vm.call('/lookup/1', id='l1')).status == 200
@@ -608,10 +608,10 @@
         await site.wait_until_configured(1)
         upstream = vm.upstream
 
-        def drop_response(asked):
+        def drop_response(request):
             return (
                 HttpResponse(is_dropped=True)
-                if asked.path == '/lookup/lost'
+                if request.path == '/lookup/lost'
                 else None
             )
 
--- a/deploy/tests/test_query_of_death.py
+++ b/deploy/tests/test_query_of_death.py
@@ -11,8 +11,8 @@
 from verbenamill_http.addresses import parse_address
 from verbenamill_platform import PlatformStore
 
-#: Number of runs of a deadly request that are allowed later than WINDOW_S
-#: seconds after its third crash.
+#: Maximum number of runs of a deadly request later than WINDOW_S seconds after
+#: its third crash; also the number of that crash.
 MAX_LATE_RUNS = 3
 WINDOW_S = 3.0
 #: Service time of a request, in seconds.
@@ -53,7 +53,7 @@
 
 
 def count_late_runs(vms):
-    """Count runs of the deadly request after the window that is allowed."""
+    """Count runs of the deadly request after the window."""
     crashes = sorted(at for vm in vms for at in vm.upstream.crashed_at)
     if len(crashes) < MAX_LATE_RUNS:
         return 0
@@ -92,7 +92,7 @@
 
 
 def test_a_query_of_death_is_blocked_behind_proxies_that_are_slow(run_scenario):
-    """Guards against a late detected crash whose requests are forgotten."""
+    """Guards against forgetting the requests of a crash detected late."""
 
     async def scenario(site):
         vms = await open_fleet(site, has_proxy=True, proxy_delay=0.3)
@@ -300,7 +300,7 @@
         ]
         rows = [
             *factories.rows,
-            factories.columns('read', '/read/', service='catalog'),
+            factories.row('read', '/read/', service='catalog'),
         ]
         site.store.write_as_operator('config', factories.document(2, rows))
         await site.wait_until_converged()
--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -43,7 +43,8 @@
     # ingress daemon hears nothing from the owner for a while, because the
     # owner's heartbeats are queued in a saturated link, and gives the request
     # up; there is no other owner. Both daemons are stopping meanwhile, but must
-    # complete their running requests. The owner later answered with 200.
+    # complete their running requests. The owner answered with 200, but only
+    # after the callers had got 502.
     async def scenario(site):
         ingress, owner = await open_pair(site)
         owner.upstream.service_time = 2 * SUSPECT_AFTER
@@ -151,8 +152,8 @@
     monkeypatch,
 ):
     # Two owners have no free slot for a lookup, and the third one falls silent.
-    # The attempts of a request are bounded, but an attempt at a
-    # suspected owner counts as ended: a fourth owner answers in time.
+    # The attempts of a request are bounded, but an attempt at a suspected owner
+    # counts as ended: a fourth owner answers in time.
     tried = []
 
     async def scenario(site):
