--- a/deploy/tests/test_suspicion.py
+++ b/deploy/tests/test_suspicion.py
@@ -9,10 +9,10 @@
 from verbenamill_platform_standins.http_server import HttpResponse
 from verbenamill_policy.placement import INITIAL_BACKOFF
 from verbenamill_sidecar import ingress as ingress_module
-from verbenamill_sidecar.call import Fate, Outcome, not_run, unknown
+from verbenamill_sidecar.call import ExecutionStatus, Outcome, not_run, unknown
+from verbenamill_sidecar.forwarding import forward_call
 from verbenamill_sidecar.liveness import PROBE_PERIOD
-from verbenamill_sidecar.passing_on import pass_on
-from verbenamill_sidecar.peers import LOST_AFTER
+from verbenamill_sidecar.peers import SUSPECT_AFTER
 
 
 def drop_datagrams_of(vm):
@@ -165,9 +165,9 @@
                 lost = next(vm for vm in vms if vm.name == tried[2])
                 lost.upstream.service_time = 30
                 drop_datagrams_of(lost)
-            return await pass_on(call, peer, upstream, **more)
+            return await forward_call(call, peer, upstream, **more)
 
-        monkeypatch.setattr(ingress_module, 'pass_on', refuse_twice)
+        monkeypatch.setattr(ingress_module, 'forward_call', refuse_twice)
         vms = [await site.add_vm(f'vm{place}') for place in range(2, 6)]
         caller = await site.add_vm('vm1', service='catalog')
         await site.wait_until_converged()
@@ -247,12 +247,12 @@
     def call(*script, vms=3):
         tried = []
 
-        async def answer(call, peer, upstream, *, sender, doubt):
+        async def answer(call, peer, upstream, *, sender, on_suspect):
             tried.append(peer.record.vm)
-            return await script[min(len(tried), len(script)) - 1](doubt)
+            return await script[min(len(tried), len(script)) - 1](on_suspect)
 
         async def scenario(site):
-            monkeypatch.setattr(ingress_module, 'pass_on', answer)
+            monkeypatch.setattr(ingress_module, 'forward_call', answer)
             caller = await site.add_vm('vm1', service='catalog')
             for place in range(vms):
                 await site.add_vm(f'owner{place}')
@@ -271,8 +271,8 @@
 FOREVER = float('inf')
 
 
-async def suspected_then_answered(doubt):
-    doubt(FOREVER)
+async def suspected_then_answered(on_suspect):
+    on_suspect(FOREVER)
     await trio.sleep(0.5)
     answer = ClientResponse(status=200, headers=[], body=b'ok')
     return Outcome(
@@ -280,15 +280,15 @@
     )
 
 
-async def suspected_then_broken(doubt):
-    doubt(FOREVER)
+async def suspected_then_broken(on_suspect):
+    on_suspect(FOREVER)
     await trio.sleep(0.5)
     return unknown('the connection to the owner broke')
 
 
-async def suspected_forever(doubt):
+async def suspected_forever(on_suspect):
     while True:
-        doubt(FOREVER)
+        on_suspect(FOREVER)
         await trio.sleep(0.1)
 
 
