--- a/deploy/node/src/verbenamill_node/early_signals.py
+++ b/deploy/node/src/verbenamill_node/early_signals.py
@@ -6,7 +6,7 @@
 def ignore_hangups() -> None:
     """Ignore SIGHUP until the daemon handles it.
 
-    It tells that the settings have changed; a process that starts reads them
+    SIGHUP means that the settings have changed; a new process reads them
     anyway, and the default action of the signal would terminate it.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/deploy/tests/test_moves.py
+++ b/deploy/tests/test_moves.py
@@ -72,13 +72,13 @@
         status = status_of(site)
         assert status['targetVersion'] == 'v2'
         assert status['state'] == ('rolled_back' if fails else 'complete')
-        gone, kept = (new, old) if fails else (old, new)
-        before = [len(vm.upstream.executions) for vm in gone]
+        losing, winning = (new, old) if fails else (old, new)
+        before = [len(vm.upstream.executions) for vm in losing]
         for number in range(10):
             answer = await old[0].call(f'/lookup/{number}', id=f'end{number}')
             assert answer.status == 200
-        assert before == [len(vm.upstream.executions) for vm in gone]
-        assert all(vm.upstream.executions for vm in kept)
+        assert before == [len(vm.upstream.executions) for vm in losing]
+        assert all(vm.upstream.executions for vm in winning)
 
     run_scenario(scenario)
 
--- a/deploy/tests/test_path.py
+++ b/deploy/tests/test_path.py
@@ -87,10 +87,10 @@
 def test_an_invalid_configuration_changes_nothing(run_scenario, factories):
     async def scenario(site):
         vm = await site.add_vm('vm1')
-        bad = factories.document(5)
-        bad['routes']['rows'][0][3] = 'sometimes'
+        invalid = factories.document(5)
+        invalid['routes']['rows'][0][3] = 'sometimes'
         try:
-            site.store.write_as_operator('config', bad)
+            site.store.write_as_operator('config', invalid)
         finally:
             factories.rows[0][3] = 'idempotent'
         site.store.write_as_operator('rollout/entries', {'service': 'other'})
