--- a/deploy/node/src/verbenamill_node/early_signals.py
+++ b/deploy/node/src/verbenamill_node/early_signals.py
@@ -4,9 +4,9 @@
 
 
 def ignore_hangups() -> None:
-    """Outlive SIGHUP until the daemon handles it.
+    """Ignore SIGHUP until the daemon handles it.
 
-    It tells that the settings have changed; a process that starts reads them
-    anyway, and would end by the signal.
+    SIGHUP means that the settings have changed; a new process reads them
+    anyway, and the default action of the signal would terminate it.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
