--- a/libs/calls/src/verbenamill_calls/local.py
+++ b/libs/calls/src/verbenamill_calls/local.py
@@ -27,7 +27,7 @@
 from verbenamill_model.traffic import Observation, Outcome, Upstream
 from verbenamill_model.typing import RequestId, UpstreamState
 from verbenamill_runtime import Announcement
-from verbenamill_runtime.announcements import LEASE
+from verbenamill_runtime.announcements import UPSTREAM_LEASE
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
@@ -355,7 +355,7 @@
     def _state(self) -> UpstreamState:
         assert self._announcement is not None
         state = self._announcement.upstream.state
-        if self.clock.elapsed() - self._heard_at > LEASE:
+        if self.clock.elapsed() - self._heard_at > UPSTREAM_LEASE:
             return UpstreamState.GONE
         if self._is_draining and state is UpstreamState.READY:
             return UpstreamState.DRAINING
--- a/libs/cli/src/verbenamill_cli/history.py
+++ b/libs/cli/src/verbenamill_cli/history.py
@@ -27,7 +27,7 @@
 )
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import LogError, LogFault, LogPage
-from verbenamill_runtime.streams import CHECKPOINTS, CONFIG
+from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 
 #: Newest checkpoints that are looked at. A writer that woke from a pause
 #: leaves an old one above newer ones, so the last alone is not enough.
@@ -114,7 +114,7 @@
     """
     oldest = Offset(0)
     if farthest:
-        match await log.read(CONFIG, oldest):
+        match await log.read(CONFIG_STREAM, oldest):
             case Success(page):
                 return await _fold(log, State(), page)
             case Failure(LogError(fault=LogFault.EXPIRED) as expired):
@@ -132,7 +132,7 @@
     log: PatientLog,
     base: State,
 ) -> Result[History, CliError]:
-    page = await log.read(CONFIG, Offset(base.offset + 1))
+    page = await log.read(CONFIG_STREAM, Offset(base.offset + 1))
     return await and_then(
         page.alt(_unreadable),
         lambda found: _fold(log, base, found),
@@ -171,7 +171,7 @@
         if history.state.offset + 1 >= page.end:
             return Success(history)
         following = Offset(history.state.offset + 1)
-        match await log.read(CONFIG, following):
+        match await log.read(CONFIG_STREAM, following):
             case Success(page):
                 continue
             case Failure(error):
@@ -186,7 +186,7 @@
 ) -> Result[State | None, LogError]:
     """Checkpoint that the record ``oldest`` or a later one follows."""
     count = MAX_CHECKPOINTS if farthest else LOOK_BACK
-    found = await read_newest(log, CHECKPOINTS, count)
+    found = await read_newest(log, CHECKPOINTS_STREAM, count)
     choose = min if farthest else max
 
     def choose_usable(entries: tuple[Entry, ...]) -> State | None:
--- a/libs/cli/src/verbenamill_cli/publish.py
+++ b/libs/cli/src/verbenamill_cli/publish.py
@@ -30,7 +30,7 @@
 )
 from verbenamill_model.typing import Offset, TicketNumber
 from verbenamill_runtime import LogError, LogFault
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 
 class Published(Struct, frozen=True, kw_only=True):
@@ -98,7 +98,7 @@
     waits = log.waits()
     may_be_there = False
     while True:
-        appended = await log.append(CONFIG, body)
+        appended = await log.append(CONFIG_STREAM, body)
         match appended:
             case Success(_) | Failure(LogError(fault=LogFault.UNKNOWN)):
                 may_be_there = True
@@ -115,7 +115,7 @@
     """Fold what was appended since; false when the log does not answer."""
     while True:
         following = Offset(history.state.offset + 1)
-        match await log.read(CONFIG, following):
+        match await log.read(CONFIG_STREAM, following):
             case Success(page):
                 for entry in page.entries:
                     history.take(entry)
--- a/libs/cli/src/verbenamill_cli/trail.py
+++ b/libs/cli/src/verbenamill_cli/trail.py
@@ -12,7 +12,7 @@
 from verbenamill_cli.results import and_then
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import LogError, LogFault
-from verbenamill_runtime.streams import AUDIT, AuditLine
+from verbenamill_runtime.streams import AUDIT_STREAM, AuditLine
 
 
 class Records(Struct, frozen=True, kw_only=True):
@@ -49,7 +49,7 @@
     kept: dict[AuditLine, None] = {}
     start = Offset(0)
     while True:
-        match await log.read(AUDIT, start):
+        match await log.read(AUDIT_STREAM, start):
             case Success(page):
                 lines = (read_line(entry.body) for entry in page.entries)
                 kept.update((line, None) for line in lines if line is not None)
--- a/libs/cli/src/verbenamill_cli/verdicts.py
+++ b/libs/cli/src/verbenamill_cli/verdicts.py
@@ -13,7 +13,7 @@
 from verbenamill_model import Verdict
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, full_jitter
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 #: Longest a read of the log waits for the next record.
 LONG_POLL = timedelta(seconds=20)
@@ -94,7 +94,9 @@
         waits = self._waits()
         while True:
             following = Offset(history.state.offset + 1)
-            match await self._log.read(CONFIG, following, wait=LONG_POLL):
+            match await self._log.read(
+                CONFIG_STREAM, following, wait=LONG_POLL
+            ):
                 case Success(page):
                     self._note_answer()
                     waits = self._waits()
--- a/libs/cli/tests/conftest.py
+++ b/libs/cli/tests/conftest.py
@@ -52,7 +52,7 @@
 
     async def append(self, stream, body):
         if self.down:
-            return self._fail(LogFault.NOT_TAKEN)
+            return self._fail(LogFault.NOT_APPENDED)
         fault = self.failing.pop(0) if self.failing else None
         if fault in {None, LogFault.UNKNOWN}:
             self.put(stream, body)
--- a/libs/cli/tests/test_publish.py
+++ b/libs/cli/tests/test_publish.py
@@ -26,7 +26,7 @@
 
 
 def test_throttled_append_is_tried_again(run_json, log, ticket):
-    log.failing = [LogFault.THROTTLED, LogFault.NOT_TAKEN]
+    log.failing = [LogFault.THROTTLED, LogFault.NOT_APPENDED]
     assert run_json('ticket', 'publish', ticket)['offset'] == 0
 
 
--- a/libs/daemon/src/verbenamill_daemon/settling.py
+++ b/libs/daemon/src/verbenamill_daemon/settling.py
@@ -12,7 +12,7 @@
 from verbenamill_model import VerdictRecord, decode_record, encode_record
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, full_jitter
-from verbenamill_runtime.streams import AUDIT, CONFIG, AuditLine
+from verbenamill_runtime.streams import AUDIT_STREAM, CONFIG_STREAM, AuditLine
 
 FIRST_WAIT = timedelta(milliseconds=200)
 LONGEST_WAIT = timedelta(seconds=10)
@@ -72,7 +72,7 @@
 
     async def _is_settled(self, record: VerdictRecord) -> bool:
         start = Offset(self._read_to() + 1)
-        match await self._log.read(CONFIG, start):
+        match await self._log.read(CONFIG_STREAM, start):
             case Success(page):
                 return any(
                     _settles(entry.body, record.move) for entry in page.entries
@@ -80,7 +80,7 @@
         return False
 
     async def _append(self, record: VerdictRecord) -> bool:
-        answer = await self._log.append(CONFIG, encode_record(record))
+        answer = await self._log.append(CONFIG_STREAM, encode_record(record))
         return isinstance(answer, Success)
 
 
@@ -137,7 +137,7 @@
         # After a lost answer the line may stand there already. It is written
         # again all the same: readers drop equal lines, and none is missing.
         while isinstance(
-            await self._log.append(AUDIT, body),
+            await self._log.append(AUDIT_STREAM, body),
             Failure,
         ):
             await trio.sleep(next(waits).total_seconds())
--- a/libs/daemon/tests/test_daemon.py
+++ b/libs/daemon/tests/test_daemon.py
@@ -24,7 +24,7 @@
     LogServiceSettings,
     VmSettings,
 )
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 UPSTREAM = {
     'service': 'entries',
@@ -105,7 +105,7 @@
             services=(Service(name='entries', version='v1'),),
             routes=(Route(name='e', prefix='/entries', service='entries'),),
         )
-        log.put(CONFIG, encode_record(TicketRecord(ticket=ticket)))
+        log.put(CONFIG_STREAM, encode_record(TicketRecord(ticket=ticket)))
         await wait_until(lambda: daemon.status().version == 0)
         shown = (await client.get('/configuration')).json()
         assert shown['routes']['e']['service'] == 'entries'
--- a/libs/daemon/tests/test_settling.py
+++ b/libs/daemon/tests/test_settling.py
@@ -11,7 +11,7 @@
 from verbenamill_mesh.testing import EPOCH, MemoryLog, wait_until
 from verbenamill_model import VerdictRecord, decode_record
 from verbenamill_model.typing import Offset, VerdictKind
-from verbenamill_runtime.streams import AUDIT, CONFIG, AuditLine
+from verbenamill_runtime.streams import AUDIT_STREAM, CONFIG_STREAM, AuditLine
 
 DONE = VerdictRecord(
     move=Offset(2),
@@ -50,7 +50,7 @@
         log = MemoryLog()
         log.loses_answers = True
         await build_settler(log).settle(DONE)
-        assert len(await bodies(log, CONFIG)) == 1
+        assert len(await bodies(log, CONFIG_STREAM)) == 1
 
     run(scenario)
 
@@ -71,7 +71,9 @@
                 nursery.start_soon(settler.settle, DONE)
             await trio.sleep(timedelta(minutes=10).total_seconds())
             log.is_down = False
-        records = [decode_record(body) for body in await bodies(log, CONFIG)]
+        records = [
+            decode_record(body) for body in await bodies(log, CONFIG_STREAM)
+        ]
         assert [record.unwrap() for record in records] == [DONE]
 
     run(scenario)
@@ -83,7 +85,7 @@
     async def scenario():
         log = MemoryLog()
         await build_settler(log, running=lambda record: False).settle(DONE)
-        assert not await bodies(log, CONFIG)
+        assert not await bodies(log, CONFIG_STREAM)
 
     run(scenario)
 
@@ -113,7 +115,7 @@
             nursery.cancel_scope.cancel()
         lines = [
             msgspec.json.decode(body, type=AuditLine).text
-            for body in await bodies(log, AUDIT)
+            for body in await bodies(log, AUDIT_STREAM)
         ]
         assert lines == ['stage 1', 'stage 2']
 
--- a/libs/mesh/src/verbenamill_mesh/checkpoints.py
+++ b/libs/mesh/src/verbenamill_mesh/checkpoints.py
@@ -19,7 +19,7 @@
 from verbenamill_mesh.newest import read_newest
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import CHECKPOINTS
+from verbenamill_runtime.streams import CHECKPOINTS_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Clock, Log
@@ -117,9 +117,9 @@
             offset=self._configuration.state.offset,
             body=self._configuration.checkpoint(),
         )
-        self._stats.count_log(CHECKPOINTS)
+        self._stats.count_log(CHECKPOINTS_STREAM)
         outcome = await self._log.append(
-            CHECKPOINTS,
+            CHECKPOINTS_STREAM,
             msgspec.msgpack.encode(record),
         )
         match outcome:
@@ -158,8 +158,8 @@
 
     async def _read(self) -> list[CheckpointRecord]:
         """Read the newest checkpoints, the best one last."""
-        self._stats.count_log(CHECKPOINTS)
-        outcome = await read_newest(self._log, CHECKPOINTS, LOOK_BACK)
+        self._stats.count_log(CHECKPOINTS_STREAM)
+        outcome = await read_newest(self._log, CHECKPOINTS_STREAM, LOOK_BACK)
         if isinstance(outcome, Failure):
             return []
         entries = outcome.unwrap()
--- a/libs/mesh/src/verbenamill_mesh/gateways.py
+++ b/libs/mesh/src/verbenamill_mesh/gateways.py
@@ -18,7 +18,7 @@
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import GATEWAYS
+from verbenamill_runtime.streams import GATEWAYS_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone
 from verbenamill_runtime import Log
@@ -92,9 +92,9 @@
             (own.control, *(member.control for member in some)),
         )
         record = GatewaysRecord(own.availability_zone, tuple(addresses))
-        self._stats.count_log(GATEWAYS)
+        self._stats.count_log(GATEWAYS_STREAM)
         outcome = await self._log.append(
-            GATEWAYS,
+            GATEWAYS_STREAM,
             msgspec.json.encode(record),
         )
         if isinstance(outcome, Failure):
@@ -117,8 +117,8 @@
             await self._meet(address)
 
     async def _read(self) -> list[GatewaysRecord]:
-        self._stats.count_log(GATEWAYS)
-        outcome = await read_newest(self._log, GATEWAYS, LOOK_BACK)
+        self._stats.count_log(GATEWAYS_STREAM)
+        outcome = await read_newest(self._log, GATEWAYS_STREAM, LOOK_BACK)
         if isinstance(outcome, Failure):
             return []
         read = map(_decode, outcome.unwrap())
@@ -129,5 +129,5 @@
     try:
         return _decoder.decode(entry.body)
     except msgspec.MsgspecError:
-        log(Event.MESSAGE_UNKNOWN, kind=f'{GATEWAYS} {entry.offset}')
+        log(Event.MESSAGE_UNKNOWN, kind=f'{GATEWAYS_STREAM} {entry.offset}')
         return None
--- a/libs/mesh/src/verbenamill_mesh/reader.py
+++ b/libs/mesh/src/verbenamill_mesh/reader.py
@@ -17,7 +17,7 @@
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, LogPage, full_jitter
@@ -89,12 +89,12 @@
 
     async def _read_page(self) -> bool:
         """Read once; whether that went well."""
-        self._stats.count_log(CONFIG)
+        self._stats.count_log(CONFIG_STREAM)
         # Held open by a quiet log, the first read would keep a daemon that
         # has caught up from saying so for a whole long poll.
         is_ready = self._stats.ready
         outcome = await self._log.read(
-            CONFIG,
+            CONFIG_STREAM,
             Offset(self._configuration.state.offset + 1),
             wait=self._settings.long_poll if is_ready else timedelta(0),
         )
--- a/libs/mesh/src/verbenamill_mesh/testing.py
+++ b/libs/mesh/src/verbenamill_mesh/testing.py
@@ -166,7 +166,7 @@
         """Append one record and learn its offset."""
         await trio.lowlevel.checkpoint()
         if self.is_down:
-            return Failure(LogError(fault=LogFault.NOT_TAKEN, detail='down'))
+            return Failure(LogError(fault=LogFault.NOT_APPENDED, detail='down'))
         offset = self.put(stream, body)
         if self.loses_answers:
             return Failure(LogError(fault=LogFault.UNKNOWN, detail='lost'))
@@ -251,7 +251,7 @@
     ) -> Result[Offset, LogError]:
         """Append one record and learn its offset."""
         if self.is_down:
-            return Failure(LogError(fault=LogFault.NOT_TAKEN, detail='cut'))
+            return Failure(LogError(fault=LogFault.NOT_APPENDED, detail='cut'))
         return await self._log.append(stream, body)
 
     async def read(
--- a/libs/mesh/tests/conftest.py
+++ b/libs/mesh/tests/conftest.py
@@ -8,7 +8,7 @@
 from trio._core import _run
 
 from verbenamill_mesh import Configuration, Mesh, MeshSettings
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_mesh.testing import EPOCH, MemoryLog, MemoryNetwork
 from verbenamill_model import (
     Route,
@@ -87,7 +87,9 @@
             services=(Service(name=name, version='v1'),),
             routes=(Route(name=name, prefix=f'/{name}', service=name),),
         )
-        return self.log.put(CONFIG, encode_record(TicketRecord(ticket=ticket)))
+        return self.log.put(
+            CONFIG_STREAM, encode_record(TicketRecord(ticket=ticket))
+        )
 
     def all_at(self, offset):
         return all(d.offset >= offset for d in self.daemons.values())
--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_mesh import Configuration, MeshSettings
-from verbenamill_runtime.streams import CHECKPOINTS, CONFIG
+from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 from verbenamill_mesh.checkpoints import CheckpointRecord
 from verbenamill_mesh.messages import (
     Busy,
@@ -56,7 +56,7 @@
 
 
 def is_reader(daemon):
-    return daemon.mesh.stats().log_requests.get(CONFIG, 0) > 0
+    return daemon.mesh.stats().log_requests.get(CONFIG_STREAM, 0) > 0
 
 
 def test_both_readers_die_and_tickets_go_on(run_fleet):
@@ -528,7 +528,7 @@
         await start_two_zones(fleet, size=2)
         fleet.publish()
         await trio.sleep(300)
-        written = fleet.log.records(CHECKPOINTS)
+        written = fleet.log.records(CHECKPOINTS_STREAM)
         age = TrioClock(EPOCH).now() - written[-1].at
         assert age < timedelta(minutes=2)
         assert len(written) < 8, 'one writer, not one a daemon or zone'
@@ -571,7 +571,7 @@
             await trio.sleep(1)
         await trio.sleep(90)
         fleet.kill('a-0')
-        fleet.log.put(CHECKPOINTS, old)
+        fleet.log.put(CHECKPOINTS_STREAM, old)
         fresh = await fleet.start('a-1', zone='a', seeds=())
         await wait_until(lambda: fresh.mesh.ready)
         assert fresh.offset == offset
@@ -594,7 +594,7 @@
 
     async def read(self, stream, start, **options):
         page = await super().read(stream, start, **options)
-        if stream != CONFIG or isinstance(page, Failure):
+        if stream != CONFIG_STREAM or isinstance(page, Failure):
             return page
         whole = page.unwrap()
         entries = tuple(e for e in whole.entries if e.offset != self.hole)
--- a/libs/mesh/tests/test_mesh.py
+++ b/libs/mesh/tests/test_mesh.py
@@ -5,7 +5,7 @@
 import trio
 
 from verbenamill_mesh import Configuration, Mesh
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_mesh.testing import MemoryLog, wait_until
 from verbenamill_model.traffic import Member, Upstream
 from verbenamill_runtime import SystemClock
@@ -44,7 +44,7 @@
         async with trio.open_nursery() as nursery:
             for mesh, _ in meshes:
                 await nursery.start(mesh.run)
-            log.put(CONFIG, b'broken')
+            log.put(CONFIG_STREAM, b'broken')
             await wait_until(
                 lambda: all(
                     len(mesh.members()) == 3
--- a/libs/mesh/tests/test_random_run.py
+++ b/libs/mesh/tests/test_random_run.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_mesh.testing import LogView, MemoryLog, wait_until
 from verbenamill_model import State, fold
 from verbenamill_model.traffic import Upstream
@@ -99,7 +99,7 @@
                 for d in fleet.daemons.values()
             )
         )
-        whole = fold(State(), tuple(fleet.log.records(CONFIG))).unwrap()
+        whole = fold(State(), tuple(fleet.log.records(CONFIG_STREAM))).unwrap()
         for daemon in fleet.daemons.values():
             assert daemon.configuration.head().digest == whole.digest
 
@@ -130,13 +130,13 @@
         self.fleet.publish()
 
     async def publish_again(self):
-        records = self.fleet.log.records(CONFIG)
+        records = self.fleet.log.records(CONFIG_STREAM)
         if records:
             body = self.random.choice(records).body
-            self.fleet.log.put(CONFIG, body)
+            self.fleet.log.put(CONFIG_STREAM, body)
 
     async def publish_broken(self):
-        self.fleet.log.put(CONFIG, b'{"type": "ticket"')
+        self.fleet.log.put(CONFIG_STREAM, b'{"type": "ticket"')
 
     async def put_veto(self):
         mesh = self.fleet.daemons[self.any_daemon()].mesh
--- a/libs/runtime/src/verbenamill_runtime/announcements.py
+++ b/libs/runtime/src/verbenamill_runtime/announcements.py
@@ -15,7 +15,7 @@
 from verbenamill_http.addresses import parse_address
 
 #: An upstream that was not heard of for this long has left.
-LEASE = timedelta(seconds=2)
+UPSTREAM_LEASE = timedelta(seconds=2)
 PATH = '/upstream'
 
 
--- a/libs/runtime/src/verbenamill_runtime/http_log.py
+++ b/libs/runtime/src/verbenamill_runtime/http_log.py
@@ -70,7 +70,7 @@
                 content=body,
             )
         except (httpx.ConnectError, httpx.ConnectTimeout) as refused:
-            return _fail(LogFault.NOT_TAKEN, repr(refused))
+            return _fail(LogFault.NOT_APPENDED, repr(refused))
         except httpx.HTTPError as lost:
             # The request may have arrived, so the record may be there.
             return _fail(LogFault.UNKNOWN, repr(lost))
@@ -112,7 +112,7 @@
     if response.status_code == httpx.codes.TOO_MANY_REQUESTS:
         return _fail(LogFault.THROTTLED, response.text)
     if response.status_code == httpx.codes.SERVICE_UNAVAILABLE:
-        return _fail(LogFault.NOT_TAKEN, response.text)
+        return _fail(LogFault.NOT_APPENDED, response.text)
     if response.status_code != httpx.codes.CREATED:
         return _fail(
             LogFault.UNKNOWN,
--- a/libs/runtime/src/verbenamill_runtime/log.py
+++ b/libs/runtime/src/verbenamill_runtime/log.py
@@ -22,7 +22,7 @@
     ``NOT_TAKEN`` is certain; after ``UNKNOWN`` the append may be there.
     """
 
-    NOT_TAKEN = 'not-taken'
+    NOT_APPENDED = 'not-taken'
     THROTTLED = 'throttled'
     UNKNOWN = 'unknown'
     UNAVAILABLE = 'unavailable'
--- a/libs/runtime/src/verbenamill_runtime/settings_fields.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_fields.py
@@ -70,11 +70,11 @@
     return tuple(map(str, addresses))
 
 
-OneAddress = _setting(
+SocketAddress = _setting(
     'an IP number and a port in quotes, such as "10.0.0.5:7001"',
     _read_address,
 )
-Addresses = _setting(
+SocketAddresses = _setting(
     'a list of IP numbers with ports, such as ["10.0.0.6:7002"]',
     _read_addresses,
 )
@@ -89,7 +89,7 @@
     return found
 
 
-def as_integer(least: int, most: int) -> Meta:
+def integer_in_range(least: int, most: int) -> Meta:
     """Metadata of a whole number in a range, ends included."""
     return _setting(
         f'a whole number from {least} to {most}',
@@ -109,7 +109,7 @@
     return duration
 
 
-def as_duration(least: timedelta, most: timedelta) -> Meta:
+def duration_in_range(least: timedelta, most: timedelta) -> Meta:
     """Metadata of a duration in a range, ends included."""
     return _setting(
         'a number with a unit (ms, s, m, h) in quotes, such as "3s", from '
@@ -118,7 +118,7 @@
     )
 
 
-def as_choice(choices: type[Enum]) -> Meta:
+def one_of(choices: type[Enum]) -> Meta:
     """Metadata of one of the values of an Enum."""
     names = ', '.join(f'"{choice.value}"' for choice in choices)
     return _setting(f'one of {names}', choices)
--- a/libs/runtime/src/verbenamill_runtime/settings_types.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_types.py
@@ -7,14 +7,14 @@
 
 from verbenamill_model.typing import AvailabilityZone, Region, VmId
 from verbenamill_runtime.settings_fields import (
-    Addresses,
+    SocketAddresses,
     Flag,
     HttpUrl,
     Name,
-    OneAddress,
-    as_choice,
-    as_duration,
-    as_integer,
+    SocketAddress,
+    one_of,
+    duration_in_range,
+    integer_in_range,
 )
 from verbenamill_telemetry.log_settings import LogFormat, LogLevel
 
@@ -34,12 +34,12 @@
         other two.
     """
 
-    calls: Annotated[str, OneAddress]
-    control: Annotated[str, OneAddress]
-    admin: Annotated[str, OneAddress]
-    advertise_calls: Annotated[str | None, OneAddress] = None
-    advertise_control: Annotated[str | None, OneAddress] = None
-    advertise_admin: Annotated[str | None, OneAddress] = None
+    calls: Annotated[str, SocketAddress]
+    control: Annotated[str, SocketAddress]
+    admin: Annotated[str, SocketAddress]
+    advertise_calls: Annotated[str | None, SocketAddress] = None
+    advertise_control: Annotated[str | None, SocketAddress] = None
+    advertise_admin: Annotated[str | None, SocketAddress] = None
 
     @property
     def told_calls(self) -> str:
@@ -70,7 +70,7 @@
         first daemon.
     """
 
-    seeds: Annotated[tuple[str, ...], Addresses] = ()
+    seeds: Annotated[tuple[str, ...], SocketAddresses] = ()
 
 
 class CallLimits(Struct, frozen=True, kw_only=True):
@@ -84,25 +84,25 @@
     :param shutdown_timeout: longest a graceful stop waits for calls.
     """
 
-    max_body_bytes: Annotated[int, as_integer(1, 1 << 30)] = 64 << 20
-    max_connections: Annotated[int, as_integer(1, 100_000)] = 2000
-    queue_factor: Annotated[int, as_integer(0, 100)] = 4
+    max_body_bytes: Annotated[int, integer_in_range(1, 1 << 30)] = 64 << 20
+    max_connections: Annotated[int, integer_in_range(1, 100_000)] = 2000
+    queue_factor: Annotated[int, integer_in_range(0, 100)] = 4
     queue_timeout: Annotated[
         timedelta,
-        as_duration(timedelta(milliseconds=1), timedelta(minutes=1)),
+        duration_in_range(timedelta(milliseconds=1), timedelta(minutes=1)),
     ] = timedelta(milliseconds=250)
-    remembered_requests: Annotated[int, as_integer(1, 1_000_000)] = 50_000
+    remembered_requests: Annotated[int, integer_in_range(1, 1_000_000)] = 50_000
     shutdown_timeout: Annotated[
         timedelta,
-        as_duration(timedelta(seconds=1), timedelta(minutes=10)),
+        duration_in_range(timedelta(seconds=1), timedelta(minutes=10)),
     ] = timedelta(seconds=30)
 
 
 class LoggingSettings(Struct, frozen=True, kw_only=True):
     """How events are written."""
 
-    level: Annotated[LogLevel, as_choice(LogLevel)] = LogLevel.INFO
-    format: Annotated[LogFormat, as_choice(LogFormat)] = LogFormat.TEXT
+    level: Annotated[LogLevel, one_of(LogLevel)] = LogLevel.INFO
+    format: Annotated[LogFormat, one_of(LogFormat)] = LogFormat.TEXT
 
 
 class TestSettings(Struct, frozen=True, kw_only=True):
--- a/libs/runtime/src/verbenamill_runtime/streams.py
+++ b/libs/runtime/src/verbenamill_runtime/streams.py
@@ -7,13 +7,13 @@
 from verbenamill_model.typing import Offset, ServiceName, VmId
 
 #: Tickets of operators, and the verdicts of moves.
-CONFIG = 'config'
+CONFIG_STREAM = 'config'
 #: Steps of moves, for people.
-AUDIT = 'audit'
+AUDIT_STREAM = 'audit'
 #: States of ``config``, for readers that come after its head has expired.
-CHECKPOINTS = 'checkpoints'
+CHECKPOINTS_STREAM = 'checkpoints'
 #: Addresses of daemons in each availability zone.
-GATEWAYS = 'gateways'
+GATEWAYS_STREAM = 'gateways'
 
 
 class AuditLine(Struct, frozen=True, kw_only=True):
--- a/libs/sidecar/src/verbenamill_sidecar/settings.py
+++ b/libs/sidecar/src/verbenamill_sidecar/settings.py
@@ -14,9 +14,9 @@
 from verbenamill_runtime.settings_fields import (
     Flag,
     Name,
-    OneAddress,
-    as_choice,
-    as_integer,
+    SocketAddress,
+    one_of,
+    integer_in_range,
 )
 from verbenamill_runtime.settings_reader import read_sections
 from verbenamill_telemetry.log_settings import LogFormat, LogLevel
@@ -43,11 +43,11 @@
     :param health: whether callers may be sent here; also the metrics.
     """
 
-    callers: Annotated[str, OneAddress]
-    daemons: Annotated[str, OneAddress]
-    gossip: Annotated[str, OneAddress]
-    announcements: Annotated[str, OneAddress]
-    health: Annotated[str, OneAddress]
+    callers: Annotated[str, SocketAddress]
+    daemons: Annotated[str, SocketAddress]
+    gossip: Annotated[str, SocketAddress]
+    announcements: Annotated[str, SocketAddress]
+    health: Annotated[str, SocketAddress]
 
 
 class AdvertiseSettings(Struct, frozen=True, kw_only=True):
@@ -57,20 +57,20 @@
     :param gossip: for datagrams; empty: as listened on.
     """
 
-    daemons: Annotated[str, OneAddress] = ''
-    gossip: Annotated[str, OneAddress] = ''
+    daemons: Annotated[str, SocketAddress] = ''
+    gossip: Annotated[str, SocketAddress] = ''
 
 
 class UpstreamSettings(Struct, frozen=True, kw_only=True):
     """Where the own upstream listens."""
 
-    address: Annotated[str, OneAddress]
+    address: Annotated[str, SocketAddress]
 
 
 class StoreSettings(Struct, frozen=True, kw_only=True):
     """Where the platform's store is."""
 
-    address: Annotated[str, OneAddress]
+    address: Annotated[str, SocketAddress]
 
 
 class StopSettings(Struct, frozen=True, kw_only=True):
@@ -79,7 +79,7 @@
     :param grace: from the signal until the process is killed, in ms.
     """
 
-    grace: Annotated[int, as_integer(1000, 600_000)] = 6000
+    grace: Annotated[int, integer_in_range(1000, 600_000)] = 6000
 
 
 class StartSettings(Struct, frozen=True, kw_only=True):
@@ -95,8 +95,8 @@
 class LoggingSettings(Struct, frozen=True, kw_only=True):
     """How events are written."""
 
-    level: Annotated[LogLevel, as_choice(LogLevel)] = LogLevel.INFO
-    format: Annotated[LogFormat, as_choice(LogFormat)] = LogFormat.JSON
+    level: Annotated[LogLevel, one_of(LogLevel)] = LogLevel.INFO
+    format: Annotated[LogFormat, one_of(LogFormat)] = LogFormat.JSON
 
 
 class Settings(Struct, frozen=True, kw_only=True):
--- a/libs/standins/tests/test_log.py
+++ b/libs/standins/tests/test_log.py
@@ -116,7 +116,7 @@
         assert await served.log.append('s', b'next') == Success(1)
         await served.control(outage=True)
         refused = await served.log.append('s', b'no')
-        assert refused.failure().fault is LogFault.NOT_TAKEN
+        assert refused.failure().fault is LogFault.NOT_APPENDED
         read = await served.log.read('s', 0)
         assert read.failure().fault is LogFault.UNAVAILABLE
         told = await served.control()
