--- a/libs/bench/src/verbenamill_bench/moves_world.py
+++ b/libs/bench/src/verbenamill_bench/moves_world.py
@@ -177,9 +177,9 @@
 
     def now(self) -> datetime:
         """Simulated wall time."""
-        return START + self.elapsed()
+        return START + self.monotonic()
 
-    def elapsed(self) -> timedelta:
+    def monotonic(self) -> timedelta:
         """Simulated time since the move was accepted."""
         return timedelta(seconds=self._now)
 
--- a/libs/calls/src/verbenamill_calls/admission.py
+++ b/libs/calls/src/verbenamill_calls/admission.py
@@ -204,7 +204,7 @@
     ) -> bool:
         limit = min(
             self._settings.queue_wait,
-            (deadline - self._clock.elapsed()) / 2,
+            (deadline - self._clock.monotonic()) / 2,
         )
         ahead = _ORDER[: _ORDER.index(priority) + 1]
         waiting = sum(self._lines[other].size for other in ahead)
@@ -239,11 +239,11 @@
         is_gone: Callable[[], bool],
     ) -> None:
         until = min(
-            self._clock.elapsed() + self._settings.queue_wait,
+            self._clock.monotonic() + self._settings.queue_wait,
             deadline,
         )
         while waiter.entry is None:
-            left = (until - self._clock.elapsed()).total_seconds()
+            left = (until - self._clock.monotonic()).total_seconds()
             if left <= 0:
                 self._withdraw(waiter)
                 waiter.entry = Entry.SHED
--- a/libs/calls/src/verbenamill_calls/asking.py
+++ b/libs/calls/src/verbenamill_calls/asking.py
@@ -50,10 +50,10 @@
     """
     clock = links.context.clock
     links.stats.asked += 1
-    give_up_at = clock.elapsed() + links.settings.ask_timeout
-    while clock.elapsed() < call.deadline and not call.is_gone():
+    give_up_at = clock.monotonic() + links.settings.ask_timeout
+    while clock.monotonic() < call.deadline and not call.is_gone():
         asked = await ask_once(links, peer, call)
-        now = clock.elapsed()
+        now = clock.monotonic()
         if isinstance(asked, Asked) and asked.report.is_running:
             give_up_at = now + links.settings.ask_timeout
         elif isinstance(asked, Asked):
@@ -88,7 +88,7 @@
     wait = links.settings.silence
     exchange = Exchange(
         connection,
-        deadline=clock.elapsed() + 2 * wait,
+        deadline=clock.monotonic() + 2 * wait,
         is_gone=call.is_gone,
         clock=clock,
         settings=links.settings,
--- a/libs/calls/src/verbenamill_calls/attempts.py
+++ b/libs/calls/src/verbenamill_calls/attempts.py
@@ -78,7 +78,7 @@
         self._owner = owner
         self._call = call
         self._remembered = remembered
-        self._began_at = owner.clock.elapsed()
+        self._began_at = owner.clock.monotonic()
         self._holds_slot = True
         self._pool: Pool | None = None
         self._exchange: Exchange | None = None
@@ -99,7 +99,7 @@
             clock=self._owner.clock,
             settings=self._owner.settings,
         )
-        left = call.deadline - self._owner.clock.elapsed()
+        left = call.deadline - self._owner.clock.monotonic()
         budget = b'%d' % max(left // timedelta(milliseconds=1), 1)
         return await self._exchange.send(
             call.method,
@@ -204,7 +204,7 @@
         if not self._holds_slot:
             return
         self._holds_slot = False
-        latency = self._owner.clock.elapsed() - self._began_at
+        latency = self._owner.clock.monotonic() - self._began_at
         self._owner.observe(self._call, outcome, latency)
         served = latency if outcome is Outcome.OK else None
         if self._exchange is None:
--- a/libs/calls/src/verbenamill_calls/body.py
+++ b/libs/calls/src/verbenamill_calls/body.py
@@ -46,7 +46,7 @@
 
     def left(self) -> float:
         """Time to the deadline, in seconds."""
-        left = self._deadline - self._clock.elapsed()
+        left = self._deadline - self._clock.monotonic()
         return max(left.total_seconds(), 0)
 
     async def receive(self, source: EventSource) -> MessageEvent:
--- a/libs/calls/src/verbenamill_calls/caller_side.py
+++ b/libs/calls/src/verbenamill_calls/caller_side.py
@@ -39,7 +39,7 @@
         route = self._routes.find(self._context.snapshot(), head.target)
         if route is None:
             return await handling.reject(connection, _NO_ROUTE)
-        now = self._context.clock.elapsed()
+        now = self._context.clock.monotonic()
         deadline, is_shortened = deadline_of(head, route, now)
         body = await handling.read_body(connection, head, deadline)
         if isinstance(body, ReadFailure):
--- a/libs/calls/src/verbenamill_calls/exchange.py
+++ b/libs/calls/src/verbenamill_calls/exchange.py
@@ -80,7 +80,7 @@
     @property
     def is_silent(self) -> bool:
         """Whether nothing at all came back for suspiciously long."""
-        waited = self._clock.elapsed() - self.started_at
+        waited = self._clock.monotonic() - self.started_at
         return (
             not self.connection.received_bytes
             and waited > self._settings.silence
@@ -94,7 +94,7 @@
         body: Body,
     ) -> Fault | None:
         """Send the request, unless its deadline has passed already."""
-        self.started_at = self._clock.elapsed()
+        self.started_at = self._clock.monotonic()
         if self.started_at >= self._deadline:
             return Fault(FaultKind.TOO_LATE, 'the deadline passed before')
         head = encode_request(method, target, headers, body.framing)
@@ -104,7 +104,7 @@
             return None
         if relayed is Relayed.SOURCE_BROKEN:
             return Fault(FaultKind.CALLER_GONE, "the request's body broke off")
-        if self._clock.elapsed() >= self._deadline:
+        if self._clock.monotonic() >= self._deadline:
             return Fault(FaultKind.TIMED_OUT, 'the deadline passed')
         return await self._look_for_early_answer()
 
@@ -117,7 +117,7 @@
         :param until: when to return ``None`` if it has not come.
         """
         while True:
-            now = self._clock.elapsed()
+            now = self._clock.monotonic()
             if now >= self._deadline:
                 return Fault(FaultKind.TIMED_OUT, 'the deadline passed')
             if until is not None and now >= until:
--- a/libs/calls/src/verbenamill_calls/ingress.py
+++ b/libs/calls/src/verbenamill_calls/ingress.py
@@ -119,13 +119,13 @@
         attempt: Attempt,
         tried: list[VmId],
     ) -> Answer:
-        began_at = self._context.clock.elapsed()
+        began_at = self._context.clock.monotonic()
         quantile = self._quantile(call.route)
         hedge_at = began_at + quantile.value
         answer = await attempt.wait(hedge_at)
         if answer is None:
             answer = await self._hedge(call, attempt, tried)
-        quantile.add(self._context.clock.elapsed() - began_at)
+        quantile.add(self._context.clock.monotonic() - began_at)
         return answer
 
     async def _hedge(
@@ -149,7 +149,7 @@
     async def _outwait(self, attempt: Attempt) -> Answer:
         """Wait to the end, unless the call turns out to be lost."""
         while True:
-            now = self._context.clock.elapsed()
+            now = self._context.clock.monotonic()
             answer = await attempt.wait(now + self._settings.silence)
             if answer is not None:
                 return answer
@@ -222,7 +222,7 @@
             is_wanted = answer.fate is not Fate.FAILED
         if not is_wanted or not call.body.is_repeatable:
             return False
-        if self._context.clock.elapsed() >= call.deadline or call.is_gone():
+        if self._context.clock.monotonic() >= call.deadline or call.is_gone():
             return False
         if isinstance(answer, Refusal) and answer.fate is Fate.NOT_RUN:
             return self._may_reroute(call, answer)
--- a/libs/calls/src/verbenamill_calls/ledger.py
+++ b/libs/calls/src/verbenamill_calls/ledger.py
@@ -59,7 +59,7 @@
     def __init__(self, *, clock: Clock, settings: CallSettings) -> None:
         self._clock = clock
         self._settings = settings
-        self._complete_since = clock.elapsed()
+        self._complete_since = clock.monotonic()
         self._by_id: dict[RequestId, Remembered] = {}
         self._by_key: dict[str, Remembered] = {}
         self._order: deque[tuple[timedelta, RequestId]] = deque()
@@ -72,12 +72,12 @@
     @property
     def is_full(self) -> bool:
         """Whether no further call can be remembered."""
-        self._forget(self._clock.elapsed())
+        self._forget(self._clock.monotonic())
         return len(self._by_id) >= self._settings.max_remembered
 
     def complete_for(self) -> timedelta:
         """How far back every call is remembered."""
-        now = self._clock.elapsed()
+        now = self._clock.monotonic()
         self._forget(now)
         return now - self._complete_since
 
@@ -100,7 +100,7 @@
         assert key is None or key not in self._by_key, 'a key began twice'
         call = Remembered(digest, key)
         self._by_id[id] = call
-        self._order.append((self._clock.elapsed(), id))
+        self._order.append((self._clock.monotonic(), id))
         if key is not None:
             self._by_key[key] = call
         return call
@@ -109,7 +109,7 @@
         """Know a call under a second id, by which it came again."""
         if id not in self._by_id:
             self._by_id[id] = call
-            self._order.append((self._clock.elapsed(), id))
+            self._order.append((self._clock.monotonic(), id))
 
     def finish(
         self,
--- a/libs/calls/src/verbenamill_calls/local.py
+++ b/libs/calls/src/verbenamill_calls/local.py
@@ -84,7 +84,7 @@
         """Take what the upstream says of itself."""
         was_ready = self._is_ready()
         self._announcement = announcement
-        self._heard_at = self.clock.elapsed()
+        self._heard_at = self.clock.monotonic()
         limit = announcement.upstream.connections
         if self._pool is None or self._pool.address != announcement.address:
             self._replace_pool(announcement.address, limit)
@@ -311,7 +311,7 @@
         found: Remembered,
         deadline: timedelta,
     ) -> None:
-        left = (deadline - self.clock.elapsed()).total_seconds()
+        left = (deadline - self.clock.monotonic()).total_seconds()
         with trio.move_on_after(max(left, 0)):
             await found.settled.wait()
 
@@ -355,7 +355,7 @@
     def _state(self) -> UpstreamState:
         assert self._announcement is not None
         state = self._announcement.upstream.state
-        if self.clock.elapsed() - self._heard_at > UPSTREAM_LEASE:
+        if self.clock.monotonic() - self._heard_at > UPSTREAM_LEASE:
             return UpstreamState.GONE
         if self._is_draining and state is UpstreamState.READY:
             return UpstreamState.DRAINING
@@ -374,7 +374,7 @@
         slots = min(told.slots, told.connections)
         if self._is_warm:
             return slots
-        age = self.clock.elapsed() - self._ready_at
+        age = self.clock.monotonic() - self._ready_at
         self._is_warm = age >= self.settings.ramp
         if self._is_warm:
             return slots
--- a/libs/calls/src/verbenamill_calls/owner_side.py
+++ b/libs/calls/src/verbenamill_calls/owner_side.py
@@ -44,7 +44,7 @@
     ) -> bool:
         """Run one call; tells whether another one may follow."""
         self._handling.stats.hops += 1
-        now = self._handling.clock.elapsed()
+        now = self._handling.clock.monotonic()
         deadline = now + timedelta(milliseconds=hop.timeout)
         body = await self._handling.read_body(connection, head, deadline)
         if isinstance(body, ReadFailure):
@@ -63,7 +63,7 @@
         ask: HopAsk,
     ) -> bool:
         """Say what became of a call."""
-        now = self._handling.clock.elapsed()
+        now = self._handling.clock.monotonic()
         deadline = now + timedelta(milliseconds=ask.timeout)
         body = await self._handling.read_body(connection, head, deadline)
         if isinstance(body, ReadFailure):
--- a/libs/calls/src/verbenamill_calls/peers.py
+++ b/libs/calls/src/verbenamill_calls/peers.py
@@ -158,7 +158,7 @@
 
     def is_member_host(self, host: str) -> bool:
         """Whether a daemon runs on a host."""
-        now = self._context.clock.elapsed()
+        now = self._context.clock.monotonic()
         checked_at = self._hosts.get(host)
         if checked_at is not None and now - checked_at < _HOST_AGE:
             return True
@@ -171,7 +171,7 @@
 
     def pick(self, tiers: Tiers, tried: list[VmId]) -> Peer | None:
         """Pick an owner: near, not loaded, not ejected, not tried."""
-        now = self._context.clock.elapsed()
+        now = self._context.clock.monotonic()
         best: Peer | None = None
         best_score = math.inf
         for tier in tiers:
@@ -203,7 +203,7 @@
         """Close connections that were idle for long."""
         for peer in self._peers.values():
             peer.pool.sweep()
-        now = self._context.clock.elapsed()
+        now = self._context.clock.monotonic()
         for host, checked_at in tuple(self._hosts.items()):
             if now - checked_at >= _HOST_AGE:
                 self._hosts.pop(host)
@@ -276,7 +276,7 @@
         return self._context.random.choice(peers) if peers else None
 
     def _refresh(self, *, urgency: int = 1) -> None:
-        now = self._context.clock.elapsed()
+        now = self._context.clock.monotonic()
         if self._built_at is not None:
             age = _REFRESH_PER_MEMBER * len(self._seen)
             if now - self._built_at < max(_REFRESH, age) / urgency:
--- a/libs/calls/src/verbenamill_calls/remote.py
+++ b/libs/calls/src/verbenamill_calls/remote.py
@@ -59,7 +59,7 @@
             fault = Fault(FaultKind.NOT_SENT, 'the owner takes no connection')
             return self._conclude(fault)
         call = self.call
-        self.sent_at = self._clock.elapsed()
+        self.sent_at = self._clock.monotonic()
         self._exchange = Exchange(
             connection,
             deadline=call.deadline,
@@ -82,7 +82,7 @@
         """
         assert self._exchange is not None
         if not self.call.idempotent:
-            until = self._clock.elapsed() + self._links.settings.silence
+            until = self._clock.monotonic() + self._links.settings.silence
         head = await self._exchange.wait(until)
         if isinstance(head, ResponseHead):
             return await self._take_answer(head, self._exchange)
@@ -122,7 +122,7 @@
         if report is None:
             fault = Fault(FaultKind.BAD_ANSWER, 'this is no owner of ours')
             return await self._recover(fault)
-        now = self._clock.elapsed()
+        now = self._clock.monotonic()
         self.peer.report(report, now)
         if report.refusal is not None:
             return self._take_refusal(unpack_refusal(report.refusal), head)
@@ -158,7 +158,7 @@
             head,
             Relayed.WHOLE if is_ended else Relayed.SOURCE_BROKEN,
         )
-        now = self._clock.elapsed()
+        now = self._clock.monotonic()
         if refusal.fate is Fate.UNKNOWN:
             self.peer.fail(1, now, self._links.context.random)
         elif refusal.fate is Fate.NOT_RUN and refusal.retry_after is None:
@@ -180,7 +180,7 @@
         """End with what is known from the fault alone."""
         points = 1 if fault.kind is FaultKind.TIMED_OUT else LOST_POINTS
         if fault.kind not in _BLAMELESS:
-            now = self._clock.elapsed()
+            now = self._clock.monotonic()
             self.peer.fail(points, now, self._links.context.random)
         self.abandon()
         if fault.kind is FaultKind.NOT_SENT and self.call.key is not None:
@@ -192,7 +192,7 @@
         is_failed = head.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         is_shed = get_header(head.headers, b'retry-after') is not None
         if is_failed and not is_shed:
-            now = self._clock.elapsed()
+            now = self._clock.monotonic()
             self.peer.fail(1, now, self._links.context.random)
         else:
             self.peer.succeed()
--- a/libs/calls/src/verbenamill_calls/server.py
+++ b/libs/calls/src/verbenamill_calls/server.py
@@ -123,7 +123,7 @@
 
         One that was opened just now has a request on its way.
         """
-        oldest = self._clock.elapsed() - _FRESH
+        oldest = self._clock.monotonic() - _FRESH
         for seat in self._seats:
             waits_since = seat.waits_since
             if waits_since is None or not seat.connection.is_between_messages:
@@ -196,14 +196,14 @@
         return event
 
     async def _wait_for_event(self, seat: '_Seat') -> MessageEvent:
-        seat.waits_since = self._clock.elapsed()
+        seat.waits_since = self._clock.monotonic()
         event = await seat.connection.receive()
         seat.waits_since = None
         return event
 
     def _dismiss_slow(self) -> None:
         """End connections that wait for long: longer between requests."""
-        now = self._clock.elapsed()
+        now = self._clock.monotonic()
         for seat in self._seats:
             if seat.waits_since is None:
                 continue
--- a/libs/cli/tests/conftest.py
+++ b/libs/cli/tests/conftest.py
@@ -92,7 +92,7 @@
     def now(self):
         return START
 
-    def elapsed(self):
+    def monotonic(self):
         return timedelta(0)
 
 
--- a/libs/mesh/src/verbenamill_mesh/budget.py
+++ b/libs/mesh/src/verbenamill_mesh/budget.py
@@ -26,7 +26,7 @@
         return True
 
     def _fill(self) -> None:
-        now = self._clock.elapsed()
+        now = self._clock.monotonic()
         if self._filled_at is not None:
             passed = (now - self._filled_at).total_seconds()
             tokens = self._tokens + passed * self._per_second
--- a/libs/mesh/src/verbenamill_mesh/probing.py
+++ b/libs/mesh/src/verbenamill_mesh/probing.py
@@ -137,17 +137,17 @@
 
     def _suspect(self, target: VmId) -> None:
         update = self._members.judge(target, Status.SUSPECT)
-        self._suspects.setdefault(target, self._clock.elapsed())
+        self._suspects.setdefault(target, self._clock.monotonic())
         if update is not None:
             log(Event.MEMBER_SUSPECTED, member=target)
             self._spread(update)
 
     async def _judge(self) -> None:
         """Declare suspects dead and forget those long dead."""
-        last = self._clock.elapsed()
+        last = self._clock.monotonic()
         while True:
             await self._pause()
-            now = self._clock.elapsed()
+            now = self._clock.monotonic()
             if now - last > PAUSED_PERIODS * self._settings.probe_period:
                 # This process was paused: suspects had no chance to refute
                 # to it, and their time would seem to be over.
@@ -214,7 +214,7 @@
 
     async def _contact_first(self) -> None:
         """Find any peer while there is none."""
-        started = self._clock.elapsed()
+        started = self._clock.monotonic()
         waits = full_jitter(
             self._random,
             first=self._settings.probe_period,
@@ -225,7 +225,7 @@
             if await self._contact(hints):
                 return
             hints = self._hints()
-            if self._clock.elapsed() - started > self._settings.lonely_after:
+            if self._clock.monotonic() - started > self._settings.lonely_after:
                 hints = (*hints, *await self._find_addresses())
             await trio.sleep(next(waits).total_seconds())
 
--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -405,8 +405,8 @@
 
     pause = timedelta(0)
 
-    def elapsed(self):
-        return super().elapsed() + self.pause
+    def monotonic(self):
+        return super().monotonic() + self.pause
 
 
 def test_a_daemon_that_catches_up_is_not_ready_yet(run_fleet):
--- a/libs/moves/src/verbenamill_moves/evidence.py
+++ b/libs/moves/src/verbenamill_moves/evidence.py
@@ -132,7 +132,7 @@
         """
         if version.answered <= COLD_CALLS:
             return False
-        now = self._clock.elapsed()
+        now = self._clock.monotonic()
         place = (version.service, version.version)
         return now - latency >= self._warm_since.setdefault(place, now)
 
--- a/libs/moves/tests/conftest.py
+++ b/libs/moves/tests/conftest.py
@@ -77,7 +77,7 @@
     def second(self):
         return (self.now - START).total_seconds()
 
-    def elapsed(self):
+    def monotonic(self):
         return self.now - START
 
     def add(self, vm, zone, version, state=UpstreamState.READY):
--- a/libs/moves/tests/test_evidence.py
+++ b/libs/moves/tests/test_evidence.py
@@ -34,7 +34,7 @@
     def __init__(self):
         self.time = timedelta(0)
 
-    def elapsed(self):
+    def monotonic(self):
         return self.time
 
 
--- a/libs/runtime/src/verbenamill_runtime/clock.py
+++ b/libs/runtime/src/verbenamill_runtime/clock.py
@@ -12,7 +12,7 @@
     def now(self) -> datetime:
         """Wall time in UTC."""
 
-    def elapsed(self) -> timedelta:
+    def monotonic(self) -> timedelta:
         """Monotonic time from a fixed but unknown moment."""
 
 
@@ -26,7 +26,7 @@
         """Wall time in UTC."""
         return datetime.now(UTC)
 
-    def elapsed(self) -> timedelta:
+    def monotonic(self) -> timedelta:
         """Monotonic time of the running trio loop."""
         return timedelta(seconds=trio.current_time())
 
@@ -42,8 +42,8 @@
 
     def now(self) -> datetime:
         """Wall time in UTC."""
-        return self._start + self.elapsed()
+        return self._start + self.monotonic()
 
-    def elapsed(self) -> timedelta:
+    def monotonic(self) -> timedelta:
         """Monotonic time of the running trio loop."""
         return timedelta(seconds=trio.current_time())
