--- a/libs/cli/tests/test_examples.py
+++ b/libs/cli/tests/test_examples.py
@@ -10,7 +10,7 @@
     CallLimits,
     LoggingSettings,
     TestSettings,
-    check_settings,
+    parse_settings,
 )
 
 SECTIONS = {
@@ -33,7 +33,7 @@
 def test_annotated_settings_show_the_defaults(examples):
     """A default that was changed in the code is changed there too."""
     text = (examples / 'daemon.toml').read_text()
-    settings = check_settings(text).unwrap()
+    settings = parse_settings(text).unwrap()
     assert settings.calls == CallLimits()
     assert settings.logging == LoggingSettings()
     assert settings.test == TestSettings()
--- a/libs/runtime/src/verbenamill_runtime/settings.py
+++ b/libs/runtime/src/verbenamill_runtime/settings.py
@@ -37,8 +37,8 @@
     'Settings',
     'TestSettings',
     'VmSettings',
-    'check_settings',
     'load_settings',
+    'parse_settings',
 )
 
 
@@ -52,12 +52,12 @@
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
         return Failure((f'the file cannot be read: {error}',))
-    return check_settings(text).alt(
+    return parse_settings(text).alt(
         lambda faults: tuple(str(fault) for fault in faults),
     )
 
 
-def check_settings(
+def parse_settings(
     text: str,
 ) -> Result[Settings, tuple[Fault, ...]]:
     """Check the text of a settings file whole.
--- a/libs/runtime/tests/test_settings.py
+++ b/libs/runtime/tests/test_settings.py
@@ -5,7 +5,7 @@
 import pytest
 from returns.pipeline import is_successful
 
-from verbenamill_runtime.settings import check_settings, load_settings
+from verbenamill_runtime.settings import parse_settings, load_settings
 
 GOOD = """
 [vm]
@@ -22,12 +22,12 @@
 
 
 def faults_of(text):
-    return [str(fault) for fault in check_settings(text).failure()]
+    return [str(fault) for fault in parse_settings(text).failure()]
 
 
 def test_defaults_and_units():
     text = f'{GOOD}\n[calls]\nqueue_timeout = "250ms"\n'
-    settings = check_settings(text).unwrap()
+    settings = parse_settings(text).unwrap()
     assert settings.listen.control == '127.0.0.1:7002'
     assert settings.calls.queue_timeout == timedelta(milliseconds=250)
     assert settings.mesh.seeds == ()
@@ -78,7 +78,7 @@
 def test_switches_need_a_private_admin_address():
     """A production daemon with test switches could be cut off by anyone."""
     text = GOOD.replace('admin = "127.0.0.1', 'admin = "10.0.0.5')
-    assert is_successful(check_settings(text))
+    assert is_successful(parse_settings(text))
     [fault] = faults_of(f'{text}\n[test]\nswitches = true\n')
     assert fault.startswith('test.switches = true')
 
