--- a/deploy/tests/test_fleet.py
+++ b/deploy/tests/test_fleet.py
@@ -7,7 +7,7 @@
 from trio.testing import MockClock
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.fleet import find_fleet, find_moves
+from verbenamill_cli.fleet import report_fleet_status, report_moves
 from verbenamill_http.addresses import parse_address
 from verbenamill_platform import PlatformStore
 
@@ -23,7 +23,7 @@
         await site.settled()
         await site.saved()
         await site.in_force(1)
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         assert report.code is ExitCode.OK
         assert report.lines[:2] == (
             'configuration published: 1',
@@ -47,7 +47,7 @@
         await site.settled()
         await site.saved()
         await gone.kill()
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('out of reach')
 
@@ -63,7 +63,7 @@
             False
         )
         site.store.write_as_operator('config', kit.document(2))
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('1, behind')
 
@@ -77,7 +77,7 @@
             {'service': 'entries', 'targetVersion': 'v2', 'durationS': 12},
         )
         store = open_store(site)
-        report = (await find_moves(store)).unwrap()
+        report = (await report_moves(store)).unwrap()
         assert report.lines[1].split() == [
             *('entries', '1', 'v2', '12', 's', 'no', 'verdict', 'yet'),
         ]
@@ -85,7 +85,7 @@
             'rollout/entries',
             b'{"state": "rolled_back", "targetVersion": "v2", "order": 1}',
         )
-        report = (await find_moves(store)).unwrap()
+        report = (await report_moves(store)).unwrap()
         assert report.lines[1].endswith('taken-back')
 
     play(scene)
@@ -94,9 +94,9 @@
 def test_a_store_that_is_down_is_told(play):
     async def scene(site):
         site.store.is_down = True
-        error = (await find_fleet(open_store(site))).failure()
+        error = (await report_fleet_status(open_store(site))).failure()
         assert error.code is ExitCode.UNAVAILABLE
-        error = (await find_moves(open_store(site))).failure()
+        error = (await report_moves(open_store(site))).failure()
         assert error.code is ExitCode.UNAVAILABLE
 
     play(scene)
@@ -116,7 +116,7 @@
                     partial(vm.call, '/lookup/1', id=f'r{number}')
                 )
         await site.saved()
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         row = next(line for line in report.lines if line.startswith('vm1'))
         assert re.search(r'2\.5/s since \d{4}-\d\d-\d\dT', row)
         told = await vm.connect(4)
--- a/deploy/tests/test_query_of_death.py
+++ b/deploy/tests/test_query_of_death.py
@@ -7,7 +7,7 @@
 from trio.testing import MockClock
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.quarantine import find_blocked, unblock
+from verbenamill_cli.quarantine import list_blocked_requests, unblock_request
 from verbenamill_http.addresses import parse_address
 from verbenamill_platform import PlatformStore
 
@@ -361,13 +361,15 @@
         vms = await open_fleet(site)
         await block(site, vms)
         store = PlatformStore(parse_address(site.store.address))
-        report = (await find_blocked(store, now=datetime.now(UTC))).unwrap()
+        report = (
+            await list_blocked_requests(store, now=datetime.now(UTC))
+        ).unwrap()
         row = report.lines[1].split()
         assert 'shop.example/lookup/deadly' in row
         fingerprint = row[0]
         for vm in vms:
             vm.upstream.crashes_on = lambda _: False
-        done = await unblock(store, fingerprint, now=datetime.now(UTC))
+        done = await unblock_request(store, fingerprint, now=datetime.now(UTC))
         assert done.unwrap().code is ExitCode.OK
 
         async def runs_again():
@@ -377,7 +379,7 @@
         with trio.fail_after(300):
             while not await runs_again():
                 pass
-        missing = await unblock(store, 'ab' * 16, now=datetime.now(UTC))
+        missing = await unblock_request(store, 'ab' * 16, now=datetime.now(UTC))
         assert missing.failure().code is ExitCode.NOT_FOUND
 
     play(scene, clock=MockClock(autojump_threshold=0))
--- a/libs/cli/src/verbenamill_cli/fleet.py
+++ b/libs/cli/src/verbenamill_cli/fleet.py
@@ -47,7 +47,7 @@
     version: int | None
 
 
-async def find_fleet(store: Store) -> Result[Report, CliError]:
+async def report_fleet_status(store: Store) -> Result[Report, CliError]:
     """Ask the store and every daemon."""
     published = await store.read_newest()
     remembered = await store.read_saved_state()
@@ -60,7 +60,7 @@
     raise AssertionError('a result is a success or a failure')
 
 
-async def find_moves(store: Store) -> Result[Report, CliError]:
+async def report_moves(store: Store) -> Result[Report, CliError]:
     """Ask the store for the newest order of each service, and its verdict."""
     published = await store.read_newest()
     settlements = await store.read_verdicts()
--- a/libs/cli/src/verbenamill_cli/fleet_commands.py
+++ b/libs/cli/src/verbenamill_cli/fleet_commands.py
@@ -10,10 +10,10 @@
 
 from verbenamill_cli.environment import Environment
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.fleet import find_fleet, find_moves
+from verbenamill_cli.fleet import report_fleet_status, report_moves
 from verbenamill_cli.options import AsJson, Found, environment_of
 from verbenamill_cli.output import finish
-from verbenamill_cli.quarantine import find_blocked, unblock
+from verbenamill_cli.quarantine import list_blocked_requests, unblock_request
 from verbenamill_http.addresses import parse_address
 from verbenamill_sidecar.protocol import Store
 
@@ -44,7 +44,10 @@
 
     Ends with code 6 if any of them is out of step.
     """
-    finish(_ask(environment_of(context), store, find_fleet), as_json=as_json)
+    finish(
+        _ask(environment_of(context), store, report_fleet_status),
+        as_json=as_json,
+    )
 
 
 @app.command('moves')
@@ -54,7 +57,7 @@
     as_json: AsJson = False,
 ) -> None:
     """Show the newest order of each service and its verdict."""
-    finish(_ask(environment_of(context), store, find_moves), as_json=as_json)
+    finish(_ask(environment_of(context), store, report_moves), as_json=as_json)
 
 
 @app.command('blocked')
@@ -65,7 +68,7 @@
 ) -> None:
     """Show the requests that are refused, as upstreams crashed under them."""
     environment = environment_of(context)
-    find = partial(find_blocked, now=environment.clock.now())
+    find = partial(list_blocked_requests, now=environment.clock.now())
     finish(_ask(environment, store, find), as_json=as_json)
 
 
@@ -82,7 +85,7 @@
     """Let a blocked request run again."""
     environment = environment_of(context)
     clear = partial(
-        unblock,
+        unblock_request,
         fingerprint=fingerprint,
         now=environment.clock.now(),
     )
--- a/libs/cli/src/verbenamill_cli/quarantine.py
+++ b/libs/cli/src/verbenamill_cli/quarantine.py
@@ -14,7 +14,7 @@
 _HEADINGS = ('FINGERPRINT', 'REQUEST', 'SINCE', 'CRASHES', 'BLOCKED FOR')
 
 
-async def find_blocked(
+async def list_blocked_requests(
     store: Store,
     *,
     now: datetime,
@@ -29,7 +29,7 @@
     raise AssertionError('a result is a success or a failure')
 
 
-async def unblock(
+async def unblock_request(
     store: Store,
     fingerprint: str,
     *,
