--- a/libs/bench/src/verbenamill_bench/state_cost.py
+++ b/libs/bench/src/verbenamill_bench/state_cost.py
@@ -14,7 +14,7 @@
 
 from verbenamill_bench.figures import Machine, describe_machine
 from verbenamill_bench.setup import VERSION
-from verbenamill_mesh.members import Members, Record, Status
+from verbenamill_mesh.members import MemberRecord, Members, MemberStatus
 from verbenamill_mesh.store import Store, Update
 from verbenamill_model import (
     Entry,
@@ -132,20 +132,20 @@
 def _measure_members(count: int) -> MembersFigures:
     before = _memory()
     store = Store()
-    members = Members(_member(0), store, on_own_doubt=print)
+    members = Members(_member(0), store, on_refutation_needed=print)
     size = 0
     for number in range(1, count):
         update = _news(number, incarnation=1)
         size += len(update.value)
-        members.learn(update)
+        members.merge_update(update)
     members.alive()
     grown = _memory() - before
     learn_ms = _time_each(
-        lambda step: members.learn(_news(step + 1, incarnation=2)),
+        lambda step: members.merge_update(_news(step + 1, incarnation=2)),
     )
 
     def look(step: int) -> None:
-        members.learn(_news(step + 1, incarnation=3))
+        members.merge_update(_news(step + 1, incarnation=3))
         members.alive()
 
     return MembersFigures(
@@ -158,7 +158,9 @@
 
 
 def _news(number: int, *, incarnation: int) -> Update:
-    record = Record(incarnation, Status.ALIVE, _member(number, incarnation))
+    record = MemberRecord(
+        incarnation, MemberStatus.ALIVE, _member(number, incarnation)
+    )
     return Update(_TOPIC, f'vm-{number}', msgspec.msgpack.encode(record))
 
 
--- a/libs/cli/src/verbenamill_cli/history.py
+++ b/libs/cli/src/verbenamill_cli/history.py
@@ -15,7 +15,7 @@
 from verbenamill_cli.results import and_then
 from verbenamill_mesh import Configuration
 from verbenamill_mesh.checkpoints import CheckpointRecord
-from verbenamill_mesh.newest import read_newest
+from verbenamill_mesh.newest_records import read_newest_records
 from verbenamill_model import (
     Answer,
     AuditEntry,
@@ -186,7 +186,7 @@
 ) -> Result[State | None, LogError]:
     """Checkpoint that the record ``oldest`` or a later one follows."""
     count = MAX_CHECKPOINTS if farthest else LOOK_BACK
-    found = await read_newest(log, CHECKPOINTS_STREAM, count)
+    found = await read_newest_records(log, CHECKPOINTS_STREAM, count)
     choose = min if farthest else max
 
     def choose_usable(entries: tuple[Entry, ...]) -> State | None:
--- a/libs/daemon/src/verbenamill_daemon/daemon.py
+++ b/libs/daemon/src/verbenamill_daemon/daemon.py
@@ -76,17 +76,17 @@
             nursery.start_soon(self.audit.run)
             nursery.start_soon(self._watch_upstream)
             nursery.start_soon(self._watch_configuration)
-            log(Event.STARTED, id=self.mesh.own.id)
+            log(Event.STARTED, id=self.mesh.own_member.id)
             await stopping.wait()
-            log(Event.STOPPING, id=self.mesh.own.id)
+            log(Event.STOPPING, id=self.mesh.own_member.id)
             await self._stop()
             nursery.cancel_scope.cancel()
-        log(Event.STOPPED, id=self.mesh.own.id)
+        log(Event.STOPPED, id=self.mesh.own_member.id)
 
     def status(self) -> Status:
         """What this daemon runs, for the operators."""
         state = self.configuration.state
-        member = self.mesh.own
+        member = self.mesh.own_member
         return Status(
             id=member.id,
             availability_zone=member.availability_zone,
@@ -146,7 +146,7 @@
                     mesh=self.mesh.stats,
                 ),
             ),
-            cut=self.mesh.cut if allow_cut else None,
+            cut=self.mesh.set_cut_zones if allow_cut else None,
         )
         await serve_admin(
             build_app(context),
@@ -160,9 +160,9 @@
 
     def _tell_upstream(self) -> None:
         upstream = self.local.upstream() if self.is_open else None
-        if upstream != self.mesh.own.upstream:
+        if upstream != self.mesh.own_member.upstream:
             _log_upstream(upstream)
-            self.mesh.announce(upstream)
+            self.mesh.announce_upstream(upstream)
 
     async def _watch_upstream(self) -> None:
         while True:
@@ -283,7 +283,7 @@
 
     audit = AuditWriter(platform_log, random=random)
     moving = Moving(
-        member=lambda: mesh.own,
+        member=lambda: mesh.own_member,
         mesh=mesh,
         configuration=configuration,
         settler=Settler(
@@ -296,7 +296,7 @@
         clock=clock,
     )
     context = CallContext(
-        member=lambda: mesh.own,
+        member=lambda: mesh.own_member,
         snapshot=lambda: configuration.snapshot,
         members=mesh.members,
         shares=moving.shares,
--- a/libs/daemon/src/verbenamill_daemon/moving.py
+++ b/libs/daemon/src/verbenamill_daemon/moving.py
@@ -75,7 +75,7 @@
         self._find_running = cache_last(_find_running)
         self._find_owners = cache_last(_find_owners)
         mesh.add_topic(MOVES_TOPIC, merge_states)
-        mesh.handle(REPORT_KIND, self._decider.receive)
+        mesh.set_handler(REPORT_KIND, self._decider.receive)
 
     def observe(self, observation: Observation) -> None:
         """Count one call that this owner saw end."""
--- a/libs/daemon/tests/test_daemon.py
+++ b/libs/daemon/tests/test_daemon.py
@@ -92,7 +92,7 @@
     async def scenario(daemon, log, client):
         answer = await client.put('/upstream', json=UPSTREAM)
         assert answer.status_code == 204
-        assert daemon.mesh.own.upstream is not None
+        assert daemon.mesh.own_member.upstream is not None
 
     run(scenario)
 
@@ -120,7 +120,7 @@
         answer = await client.put('/upstream', json=UPSTREAM | {'slots': 0})
         assert answer.status_code == 400
         assert 'at least 1' in answer.json()['error']
-        assert daemon.mesh.own.upstream is None
+        assert daemon.mesh.own_member.upstream is None
 
     run(scenario)
 
@@ -202,7 +202,7 @@
             nursery.start_soon(daemon.run, trio.Event())
             with trio.fail_after(30):
                 await wait_until(lambda: daemon.mesh.ready)
-            assert daemon.mesh.own.control == '203.0.113.7:7001'
+            assert daemon.mesh.own_member.control == '203.0.113.7:7001'
             host, _, port = daemon.settings.listen.control.rpartition(':')
             await (await trio.open_tcp_stream(host, int(port))).aclose()
             nursery.cancel_scope.cancel()
--- a/libs/daemon/tests/test_metrics.py
+++ b/libs/daemon/tests/test_metrics.py
@@ -29,7 +29,7 @@
     mesh = MeshStats(links=3)
     mesh.count_sent('push', 120)
     mesh.count_received('ping', 8)
-    mesh.count_log('config')
+    mesh.count_log_request('config')
     sources = Sources(
         health=lambda: HEALTH,
         calls=lambda: CallStats(calls=9, running=2),
--- a/libs/mesh/src/verbenamill_mesh/broadcast.py
+++ b/libs/mesh/src/verbenamill_mesh/broadcast.py
@@ -48,7 +48,7 @@
         self._budget = Budget(settings.rumours_per_second, clock)
         self._waiting: list[Push] = []
         self._has_work = trio.Event()
-        self._position = position_of(peers.own.id)
+        self._position = position_of(peers.own_member.id)
 
     async def run(self) -> None:
         """Send until cancelled."""
--- a/libs/mesh/src/verbenamill_mesh/checkpoints.py
+++ b/libs/mesh/src/verbenamill_mesh/checkpoints.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_mesh.configuration import Configuration
-from verbenamill_mesh.newest import read_newest
+from verbenamill_mesh.newest_records import read_newest_records
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
 from verbenamill_runtime.streams import CHECKPOINTS_STREAM
@@ -117,7 +117,7 @@
             offset=self._configuration.state.offset,
             body=self._configuration.checkpoint(),
         )
-        self._stats.count_log(CHECKPOINTS_STREAM)
+        self._stats.count_log_request(CHECKPOINTS_STREAM)
         outcome = await self._log.append(
             CHECKPOINTS_STREAM,
             msgspec.msgpack.encode(record),
@@ -158,8 +158,10 @@
 
     async def _read(self) -> list[CheckpointRecord]:
         """Read the newest checkpoints, the best one last."""
-        self._stats.count_log(CHECKPOINTS_STREAM)
-        outcome = await read_newest(self._log, CHECKPOINTS_STREAM, LOOK_BACK)
+        self._stats.count_log_request(CHECKPOINTS_STREAM)
+        outcome = await read_newest_records(
+            self._log, CHECKPOINTS_STREAM, LOOK_BACK
+        )
         if isinstance(outcome, Failure):
             return []
         entries = outcome.unwrap()
--- a/libs/mesh/src/verbenamill_mesh/gateways.py
+++ b/libs/mesh/src/verbenamill_mesh/gateways.py
@@ -14,7 +14,7 @@
 
 from verbenamill_mesh.exchange import Meet
 from verbenamill_mesh.members import Members
-from verbenamill_mesh.newest import read_newest
+from verbenamill_mesh.newest_records import read_newest_records
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
@@ -85,14 +85,14 @@
         return tuple(dict.fromkeys(found))
 
     async def _write(self) -> None:
-        own = self._peers.own
+        own = self._peers.own_member
         mates = list(self._members.in_zone(own.availability_zone).values())
         some = self._random.sample(mates, min(len(mates), MAX_ADDRESSES - 1))
         addresses = dict.fromkeys(
             (own.control, *(member.control for member in some)),
         )
         record = GatewaysRecord(own.availability_zone, tuple(addresses))
-        self._stats.count_log(GATEWAYS_STREAM)
+        self._stats.count_log_request(GATEWAYS_STREAM)
         outcome = await self._log.append(
             GATEWAYS_STREAM,
             msgspec.json.encode(record),
@@ -117,8 +117,10 @@
             await self._meet(address)
 
     async def _read(self) -> list[GatewaysRecord]:
-        self._stats.count_log(GATEWAYS_STREAM)
-        outcome = await read_newest(self._log, GATEWAYS_STREAM, LOOK_BACK)
+        self._stats.count_log_request(GATEWAYS_STREAM)
+        outcome = await read_newest_records(
+            self._log, GATEWAYS_STREAM, LOOK_BACK
+        )
         if isinstance(outcome, Failure):
             return []
         read = map(_decode, outcome.unwrap())
--- a/libs/mesh/src/verbenamill_mesh/members.py
+++ b/libs/mesh/src/verbenamill_mesh/members.py
@@ -12,13 +12,13 @@
 from verbenamill_model.traffic import Member
 from verbenamill_model.typing import AvailabilityZone, VmId
 
-TOPIC = 'members'
+MEMBERS_TOPIC = 'members'
 #: Readers of an availability zone: one, and one in its stead.
 READERS = 2
 
 
 @unique
-class Status(IntEnum):
+class MemberStatus(IntEnum):
     """What is known of a member; the higher one wins within a run."""
 
     ALIVE = 0
@@ -27,7 +27,7 @@
     LEFT = 3
 
 
-class Record(Struct, frozen=True, array_like=True):
+class MemberRecord(Struct, frozen=True, array_like=True):
     """A member and what is known of it.
 
     :param incarnation: only the member itself raises it, to refute what
@@ -35,13 +35,13 @@
     """
 
     incarnation: int
-    status: Status
+    status: MemberStatus
     member: Member
 
     @property
     def is_alive(self) -> bool:
         """Whether it counts as alive; a suspect does until it is dead."""
-        return self.status <= Status.SUSPECT
+        return self.status <= MemberStatus.SUSPECT
 
     @property
     def precedence(self) -> tuple[int, int]:
@@ -50,7 +50,7 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Record)
+_decoder = msgspec.msgpack.Decoder(MemberRecord)
 
 
 def merge_records(old: bytes | None, new: bytes) -> bytes:
@@ -84,22 +84,22 @@
         own: Member,
         store: Store,
         *,
-        on_own_doubt: Callable[[int], None],
+        on_refutation_needed: Callable[[int], None],
     ) -> None:
         self._own = own
         self._has_left = False
         self._store = store
-        self._on_own_doubt = on_own_doubt
-        self._records: dict[VmId, Record] = {}
-        self._tombstones: dict[VmId, Record] = {}
+        self._on_refutation_needed = on_refutation_needed
+        self._records: dict[VmId, MemberRecord] = {}
+        self._tombstones: dict[VmId, MemberRecord] = {}
         self._zones: dict[AvailabilityZone, dict[VmId, Member]] = {}
         self._alive: dict[VmId, Member] | None = None
         self._ranked: dict[AvailabilityZone, tuple[VmId, ...]] = {}
-        store.add_topic(TOPIC, merge_records, is_counted=is_counted)
+        store.add_topic(MEMBERS_TOPIC, merge_records, is_counted=is_counted)
         self.say()
 
     @property
-    def own(self) -> Member:
+    def own_member(self) -> Member:
         """This daemon as others see it."""
         return self._own
 
@@ -123,13 +123,13 @@
         incarnation = max(self._own.incarnation, above) + 1
         self._own = replace(own or self._own, incarnation=incarnation)
         self._has_left = self._has_left or leaves
-        status = Status.LEFT if self._has_left else Status.ALIVE
-        record = Record(incarnation, status, self._own)
+        status = MemberStatus.LEFT if self._has_left else MemberStatus.ALIVE
+        record = MemberRecord(incarnation, status, self._own)
         update = _as_update(record)
         assert self._take(update, record), 'a higher incarnation wins'
         return update
 
-    def learn(self, update: Update) -> bool:
+    def merge_update(self, update: Update) -> bool:
         """Merge what is told of a member.
 
         :returns: whether it changed the table.
@@ -142,7 +142,7 @@
             # it would bring expired ones back for ever.
             return False
         if member == self._own.id and self._is_doubt(update, told):
-            self._on_own_doubt(told.incarnation)
+            self._on_refutation_needed(told.incarnation)
             return False
         return self._take(update, told)
 
@@ -172,11 +172,11 @@
             self._ranked[zone] = tuple(ranked[:READERS])
         return self._ranked[zone]
 
-    def record(self, member: VmId) -> Record | None:
+    def record(self, member: VmId) -> MemberRecord | None:
         """What is known of a member."""
         return self._records.get(member)
 
-    def tombstones(self) -> tuple[Record, ...]:
+    def tombstones(self) -> tuple[MemberRecord, ...]:
         """Members that died or left, as long as they are remembered."""
         return tuple(self._tombstones.values())
 
@@ -184,7 +184,7 @@
         """Whether a member is known to have died or left."""
         return member in self._tombstones
 
-    def judge(self, member: VmId, status: Status) -> Update | None:
+    def judge(self, member: VmId, status: MemberStatus) -> Update | None:
         """State that a member is suspect or dead.
 
         :returns: the update to spread, if that is news.
@@ -193,16 +193,16 @@
         if held is None or held.status >= status:
             return None
         update = _as_update(replace(held, status=status))
-        return update if self.learn(update) else None
+        return update if self.merge_update(update) else None
 
     def forget(self, member: VmId) -> None:
         """Remove a tombstone."""
         record = self._records.pop(member)
         assert not record.is_alive, 'only tombstones expire'
         del self._tombstones[member]
-        self._store.forget(TOPIC, member)
+        self._store.forget(MEMBERS_TOPIC, member)
 
-    def _take(self, update: Update, told: Record) -> bool:
+    def _take(self, update: Update, told: MemberRecord) -> bool:
         if not self._store.merge(update):
             return False
         member = told.member.id
@@ -216,20 +216,20 @@
         self._place(told)
         return True
 
-    def _is_doubt(self, update: Update, told: Record) -> bool:
+    def _is_doubt(self, update: Update, told: MemberRecord) -> bool:
         own = self._records.get(self._own.id)
         if own is None or told.precedence < own.precedence:
             return False
         # An earlier run of this daemon may have used the same incarnation.
         # By content alone the older record, with its old address, could
         # win, and callers would be sent where nobody listens.
-        return update.value != self._store.entries(TOPIC)[self._own.id]
+        return update.value != self._store.entries(MEMBERS_TOPIC)[self._own.id]
 
     def _displace(self, member: Member) -> None:
         self._zones[member.availability_zone].pop(member.id, None)
         self._ranked.pop(member.availability_zone, None)
 
-    def _place(self, record: Record) -> None:
+    def _place(self, record: MemberRecord) -> None:
         zone = record.member.availability_zone
         found = self._zones.setdefault(zone, {})
         if record.is_alive:
@@ -241,5 +241,5 @@
         self._ranked.pop(zone, None)
 
 
-def _as_update(record: Record) -> Update:
-    return Update(TOPIC, record.member.id, _encoder.encode(record))
+def _as_update(record: MemberRecord) -> Update:
+    return Update(MEMBERS_TOPIC, record.member.id, _encoder.encode(record))
--- a/libs/mesh/src/verbenamill_mesh/mesh.py
+++ b/libs/mesh/src/verbenamill_mesh/mesh.py
@@ -15,7 +15,7 @@
 from verbenamill_mesh.exchange import Exchange, Learning
 from verbenamill_mesh.gateways import AddressBook
 from verbenamill_mesh.links import Links
-from verbenamill_mesh.members import TOPIC, Members
+from verbenamill_mesh.members import MEMBERS_TOPIC, Members
 from verbenamill_mesh.messages import Met, Note
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.probing import Prober
@@ -73,7 +73,7 @@
         self._members = Members(
             member,
             self._store,
-            on_own_doubt=self._refute,
+            on_refutation_needed=self._refute,
         )
         self._links = Links(
             own=member.id,
@@ -198,9 +198,9 @@
             await self._broadcaster.deliver_everywhere((update,))
 
     @property
-    def own(self) -> Member:
+    def own_member(self) -> Member:
         """This daemon as others see it, also after it has left."""
-        return self._members.own
+        return self._members.own_member
 
     def members(self) -> dict[VmId, Member]:
         """Members that are alive, this daemon included until it leaves.
@@ -210,9 +210,9 @@
         """
         return self._members.alive()
 
-    def announce(self, upstream: Upstream | None) -> None:
+    def announce_upstream(self, upstream: Upstream | None) -> None:
         """State the upstream that this daemon owns."""
-        own = self._members.own
+        own = self._members.own_member
         if own.upstream != upstream:
             update = self._members.say(own=replace(own, upstream=upstream))
             self._broadcaster.tell_all((update,))
@@ -238,7 +238,7 @@
         """Forget the keys of a topic that are not to be kept, for good."""
         self._store.drop(topic, keep)
 
-    def handle(
+    def set_handler(
         self,
         kind: str,
         handler: Callable[[VmId, bytes], None],
@@ -251,7 +251,7 @@
         self._notes.append((to, Note(kind, body)))
         self._has_notes.set()
 
-    def cut(self, zones: frozenset[AvailabilityZone]) -> None:
+    def set_cut_zones(self, zones: frozenset[AvailabilityZone]) -> None:
         """Cut this daemon off from availability zones; a test switch."""
         self._cut_zones = zones
 
@@ -263,11 +263,11 @@
         return self._stats
 
     def _own(self) -> Member:
-        return self._members.own
+        return self._members.own_member
 
     def _refute(self, incarnation: int) -> None:
         """Answer what others hold of this daemon and is not so."""
-        own = self._members.own
+        own = self._members.own_member
         if self._members.has_left and incarnation <= own.incarnation:
             return
         update = self._members.say(above=incarnation)
@@ -285,8 +285,8 @@
         return tuple(update for update in updates if self._merge(update))
 
     def _merge(self, update: Update) -> bool:
-        if update.topic == TOPIC:
-            return self._members.learn(update)
+        if update.topic == MEMBERS_TOPIC:
+            return self._members.merge_update(update)
         return self._store.merge(update)
 
     def _learn_entries(self, entries: tuple[Entry, ...]) -> None:
@@ -313,7 +313,7 @@
         """How many other zones write checkpoints before this daemon."""
         if not self._peers.is_primary or not self.ready:
             return None
-        own = self._members.own.availability_zone
+        own = self._members.own_member.availability_zone
         zones = {own, *self._members.zones()}
         ranked = rank((VmId(zone) for zone in zones), 'checkpoint')
         return ranked.index(VmId(own))
@@ -356,7 +356,7 @@
                     nursery.start_soon(self._send_note, to, note)
 
     async def _send_note(self, to: VmId, note: Note) -> None:
-        if to == self._members.own.id:
+        if to == self._members.own_member.id:
             self._answers.hand_over(to, note)
         else:
             await self._peers.ask(to, note)
--- a/libs/mesh/src/verbenamill_mesh/newest.py
+++ b/libs/mesh/src/verbenamill_mesh/newest_records.py
@@ -7,7 +7,7 @@
 from verbenamill_runtime import Log, LogError, LogPage
 
 
-async def read_newest(
+async def read_newest_records(
     log: Log,
     stream: str,
     count: int,
--- a/libs/mesh/src/verbenamill_mesh/peers.py
+++ b/libs/mesh/src/verbenamill_mesh/peers.py
@@ -27,19 +27,19 @@
         self._random = random
 
     @property
-    def own(self) -> Member:
+    def own_member(self) -> Member:
         """This daemon."""
-        return self._members.own
+        return self._members.own_member
 
     @property
     def is_reader(self) -> bool:
         """Whether this daemon reads the log for its availability zone."""
-        return self.own.id in self._own_readers()
+        return self.own_member.id in self._own_readers()
 
     @property
     def is_primary(self) -> bool:
         """Whether it is the first of the readers."""
-        return self._own_readers()[:1] == (self.own.id,)
+        return self._own_readers()[:1] == (self.own_member.id,)
 
     async def ask(
         self,
@@ -60,12 +60,12 @@
 
     def mates(self) -> tuple[VmId, ...]:
         """Others in the own availability zone."""
-        zone = self._members.in_zone(self.own.availability_zone)
-        return tuple(member for member in zone if member != self.own.id)
+        zone = self._members.in_zone(self.own_member.availability_zone)
+        return tuple(member for member in zone if member != self.own_member.id)
 
     def neighbours(self) -> tuple[VmId, ...]:
         """The few in the own availability zone that this one probes."""
-        return neighbours(self.own.id, self.mates())
+        return neighbours(self.own_member.id, self.mates())
 
     def choose_neighbours(self, count: int) -> list[VmId]:
         """Some of the neighbours, by chance."""
@@ -74,7 +74,7 @@
 
     def other_zones(self) -> tuple[AvailabilityZone, ...]:
         """The other availability zones with members alive."""
-        own = self.own.availability_zone
+        own = self.own_member.availability_zone
         return tuple(zone for zone in self._members.zones() if zone != own)
 
     def gateways(self, zone: AvailabilityZone) -> tuple[VmId, ...]:
@@ -101,4 +101,4 @@
         return record.member.control if record else ''
 
     def _own_readers(self) -> tuple[VmId, ...]:
-        return self._members.readers(self.own.availability_zone)
+        return self._members.readers(self.own_member.availability_zone)
--- a/libs/mesh/src/verbenamill_mesh/probing.py
+++ b/libs/mesh/src/verbenamill_mesh/probing.py
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from verbenamill_mesh.exchange import Meet
-from verbenamill_mesh.members import Members, Status
+from verbenamill_mesh.members import Members, MemberStatus
 from verbenamill_mesh.messages import ProbeFor, Reached
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
@@ -91,7 +91,7 @@
         await trio.sleep(period * self._random.uniform(0.8, 1.2))
 
     def _next_target(self) -> VmId | None:
-        mates = self._members.in_zone(self._peers.own.availability_zone)
+        mates = self._members.in_zone(self._peers.own_member.availability_zone)
         self._turns = [turn for turn in self._turns if turn in mates]
         if not self._turns:
             self._turns = list(self._peers.neighbours())
@@ -136,7 +136,7 @@
         return any(answers)
 
     def _suspect(self, target: VmId) -> None:
-        update = self._members.judge(target, Status.SUSPECT)
+        update = self._members.judge(target, MemberStatus.SUSPECT)
         self._suspects.setdefault(target, self._clock.monotonic())
         if update is not None:
             log(Event.MEMBER_SUSPECTED, member=target)
@@ -162,14 +162,14 @@
         patience = self._settings.suspicion * (1 + self._misses)
         for member, since in tuple(self._suspects.items()):
             record = self._members.record(member)
-            if record is None or record.status is not Status.SUSPECT:
+            if record is None or record.status is not MemberStatus.SUSPECT:
                 self._suspects.pop(member)
             elif now - since > patience:
                 self._suspects.pop(member)
                 self._declare_dead(member)
 
     def _declare_dead(self, member: VmId) -> None:
-        update = self._members.judge(member, Status.DEAD)
+        update = self._members.judge(member, MemberStatus.DEAD)
         if update is not None:
             log(Event.MEMBER_GONE, member=member)
             self._spread(update)
@@ -236,7 +236,7 @@
         return tuple(
             hint
             for hint in hints
-            if hint not in known and hint != self._peers.own.control
+            if hint not in known and hint != self._peers.own_member.control
         )
 
     async def _contact(self, hints: tuple[str, ...]) -> bool:
--- a/libs/mesh/src/verbenamill_mesh/reader.py
+++ b/libs/mesh/src/verbenamill_mesh/reader.py
@@ -65,7 +65,7 @@
             if self._peers.is_reader:
                 log(
                     Event.READER_CHOSEN,
-                    availability_zone=self._peers.own.availability_zone,
+                    availability_zone=self._peers.own_member.availability_zone,
                 )
                 await self._read_while_well()
             await trio.sleep(ROLE_WAIT.total_seconds())
@@ -89,7 +89,7 @@
 
     async def _read_page(self) -> bool:
         """Read once; whether that went well."""
-        self._stats.count_log(CONFIG_STREAM)
+        self._stats.count_log_request(CONFIG_STREAM)
         # Held open by a quiet log, the first read would keep a daemon that
         # has caught up from saying so for a whole long poll.
         is_ready = self._stats.ready
--- a/libs/mesh/src/verbenamill_mesh/stats.py
+++ b/libs/mesh/src/verbenamill_mesh/stats.py
@@ -54,7 +54,7 @@
         _add(self.received, kind, 1)
         _add(self.received_bytes, kind, size)
 
-    def count_log(self, stream: str) -> None:
+    def count_log_request(self, stream: str) -> None:
         """Count a request to the log."""
         _add(self.log_requests, stream, 1)
 
--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -93,7 +93,7 @@
         await start_two_zones(fleet)
         fleet.network.silence_links()
         offset = fleet.publish()
-        fleet.daemons['a-1'].mesh.announce(upstream('draining'))
+        fleet.daemons['a-1'].mesh.announce_upstream(upstream('draining'))
         await wait_until(lambda: fleet.all_at(offset), within=WITHIN_3_S)
         await wait_until(
             lambda: all(
@@ -119,7 +119,7 @@
         await start_two_zones(fleet, size=8)
         deaf = {'a-2', 'a-3', 'a-5', 'b-1', 'b-2', 'b-4', 'b-6'}
         fleet.network.is_lost = lambda _, target: target in deaf
-        fleet.daemons['a-1'].mesh.announce(upstream('draining'))
+        fleet.daemons['a-1'].mesh.announce_upstream(upstream('draining'))
         await trio.sleep(0.8)
         fleet.network.is_lost = lambda *_: False
         await wait_until(
@@ -165,7 +165,7 @@
             for daemon in daemons_of(fleet):
                 nursery.start_soon(daemon.mesh.leave)
         for name, daemon in fleet.daemons.items():
-            assert daemon.mesh.own.id == name
+            assert daemon.mesh.own_member.id == name
             assert name not in daemon.mesh.members()
         # What the task that tells the other zone may find when it runs.
         peers = fleet.daemons['a-0'].mesh._peers
@@ -242,7 +242,7 @@
         await wait_until(lambda: fleet.all_at(first))
         logs['b'].is_down = True
         for daemon in daemons_of(fleet, 'b'):
-            daemon.mesh.cut(frozenset('a'))
+            daemon.mesh.set_cut_zones(frozenset('a'))
         offset = fleet.publish()
         fleet.daemons['b-1'].mesh.put('moves', 'm', b'veto')
         await trio.sleep(60)
@@ -252,7 +252,7 @@
         )
         assert not any(d.mesh.entries('moves') for d in daemons_of(fleet, 'a'))
         for daemon in daemons_of(fleet, 'b'):
-            daemon.mesh.cut(frozenset())
+            daemon.mesh.set_cut_zones(frozenset())
         await wait_until(lambda: fleet.all_at(offset), within=WITHIN_10_S)
         await wait_until(
             lambda: all(d.mesh.entries('moves') for d in daemons_of(fleet)),
--- a/libs/mesh/tests/test_mesh.py
+++ b/libs/mesh/tests/test_mesh.py
@@ -83,7 +83,7 @@
     async def scenario(fleet):
         await start_zones(fleet)
         first = fleet.daemons['a-1'].mesh
-        first.announce(
+        first.announce_upstream(
             Upstream(
                 service='s', version='v', state='ready', slots=1, connections=1
             )
@@ -104,7 +104,7 @@
     async def scenario(fleet):
         await start_zones(fleet)
         got = []
-        fleet.daemons['b-2'].mesh.handle(
+        fleet.daemons['b-2'].mesh.set_handler(
             'report', lambda sender, body: got.append((sender, body))
         )
         fleet.daemons['a-1'].mesh.send('b-2', 'report', b'counts')
--- a/libs/mesh/tests/test_parts.py
+++ b/libs/mesh/tests/test_parts.py
@@ -12,7 +12,7 @@
 
 from verbenamill_mesh import MeshSettings, MeshStats
 from verbenamill_mesh.links import Links
-from verbenamill_mesh.members import Members, Record, Status
+from verbenamill_mesh.members import MemberRecord, Members, MemberStatus
 from verbenamill_mesh.messages import Done, Note, encode
 from verbenamill_mesh.ring import RING, Arc, neighbours, position_of, split
 from verbenamill_mesh.store import Store, Update
@@ -111,16 +111,16 @@
     One that has forgotten must not take the tombstone back from one that
     has not, or it would go round for ever.
     """
-    members = Members(member('vm-1'), Store(), on_own_doubt=int)
-    other = Members(member('vm-2'), Store(), on_own_doubt=int)
+    members = Members(member('vm-1'), Store(), on_refutation_needed=int)
+    other = Members(member('vm-2'), Store(), on_refutation_needed=int)
     alive = other.say()
-    assert members.learn(alive)
-    tombstone = members.judge('vm-2', Status.DEAD)
-    assert not members.learn(alive), 'what is older does not revive it'
+    assert members.merge_update(alive)
+    tombstone = members.judge('vm-2', MemberStatus.DEAD)
+    assert not members.merge_update(alive), 'what is older does not revive it'
     members.forget('vm-2')
-    assert not members.learn(tombstone)
+    assert not members.merge_update(tombstone)
     assert members.record('vm-2') is None
-    assert members.learn(other.say()), 'a new word of its own does'
+    assert members.merge_update(other.say()), 'a new word of its own does'
 
 
 def test_a_dropped_key_is_not_brought_back():
@@ -219,21 +219,25 @@
     """
     for old_port, new_port in (('1', '2'), ('2', '1')):
         doubts = []
-        before = Members(member('vm-1'), Store(), on_own_doubt=int)
+        before = Members(member('vm-1'), Store(), on_refutation_needed=int)
         old = before.say(own=replace(member('vm-1'), control=old_port))
-        after = Members(member('vm-1'), Store(), on_own_doubt=doubts.append)
+        after = Members(
+            member('vm-1'), Store(), on_refutation_needed=doubts.append
+        )
         after.say(own=replace(member('vm-1'), control=new_port))
-        assert not after.learn(old)
-        other = Members(member('vm-2'), Store(), on_own_doubt=int)
-        other.learn(old)
-        other.learn(after.say(above=doubts.pop()))
+        assert not after.merge_update(old)
+        other = Members(member('vm-2'), Store(), on_refutation_needed=int)
+        other.merge_update(old)
+        other.merge_update(after.say(above=doubts.pop()))
         assert other.alive()['vm-1'].control == new_port
 
 
 def test_records_of_one_run_only_get_worse():
-    members = Members(member('vm-1'), Store(), on_own_doubt=int)
-    members.learn(Members(member('vm-2'), Store(), on_own_doubt=int).say())
-    assert members.judge('vm-2', Status.DEAD) is not None
-    assert members.judge('vm-2', Status.SUSPECT) is None
-    assert isinstance(members.record('vm-2'), Record)
+    members = Members(member('vm-1'), Store(), on_refutation_needed=int)
+    members.merge_update(
+        Members(member('vm-2'), Store(), on_refutation_needed=int).say()
+    )
+    assert members.judge('vm-2', MemberStatus.DEAD) is not None
+    assert members.judge('vm-2', MemberStatus.SUSPECT) is None
+    assert isinstance(members.record('vm-2'), MemberRecord)
     assert members.alive().keys() == {'vm-1'}
--- a/libs/mesh/tests/test_random_run.py
+++ b/libs/mesh/tests/test_random_run.py
@@ -147,7 +147,7 @@
 
     async def announce(self):
         state = self.random.choice(['starting', 'ready', 'draining'])
-        self.fleet.daemons[self.any_daemon()].mesh.announce(
+        self.fleet.daemons[self.any_daemon()].mesh.announce_upstream(
             Upstream(
                 service='s', version='v', state=state, slots=1, connections=1
             )
