--- a/libs/bench/src/verbenamill_bench/calls_made.py
+++ b/libs/bench/src/verbenamill_bench/calls_made.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from verbenamill_standins import (
-    REQUEST_ID,
+    REQUEST_ID_HEADER,
     CallFault,
     Reply,
     digest_body,
@@ -80,7 +80,7 @@
     if message.status >= 300:
         return Ending.FAILED
     is_right = (
-        message.headers.get(REQUEST_ID) == call_id
+        message.headers.get(REQUEST_ID_HEADER) == call_id
         and message.headers.get('x-body-digest') == digest_body(plan.body)
         and message.headers.get('x-answer-digest') == message.digest
     )
--- a/libs/bench/src/verbenamill_bench/load.py
+++ b/libs/bench/src/verbenamill_bench/load.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from verbenamill_bench.calls_made import CallMade, CallPlan, judge
-from verbenamill_standins import REQUEST_ID, UPSTREAM, Caller
+from verbenamill_standins import REQUEST_ID_HEADER, UPSTREAM_HEADER, Caller
 
 
 class LoadSpec(Struct, frozen=True, kw_only=True):
@@ -86,7 +86,7 @@
             target,
             plan.method,
             plan.path,
-            headers={REQUEST_ID: call_id},
+            headers={REQUEST_ID_HEADER: call_id},
             body=plan.body,
             timeout=plan.timeout,
         )
@@ -102,6 +102,6 @@
                 ending=judge(call_id, plan, reply),
                 status=0 if reply.message is None else reply.message.status,
                 version=headers.get('x-version', ''),
-                upstream=headers.get(UPSTREAM, ''),
+                upstream=headers.get(UPSTREAM_HEADER, ''),
             ),
         )
--- a/libs/bench/src/verbenamill_bench/troubles.py
+++ b/libs/bench/src/verbenamill_bench/troubles.py
@@ -78,8 +78,8 @@
         for _ in range(times):
             for daemon in fleet.daemons:
                 if daemon.relay is not None:
-                    daemon.relay.silence()
-                    silenced += daemon.relay.silenced
+                    daemon.relay.blackhole_connections()
+                    silenced += daemon.relay.blackholed_connections
             await trio.sleep(every)
         return OK if silenced else Failure('no connection was open')
 
--- a/libs/standins/src/verbenamill_standins/relay.py
+++ b/libs/standins/src/verbenamill_standins/relay.py
@@ -19,11 +19,11 @@
         self._open: set[trio.CancelScope] = set()
 
     @property
-    def silenced(self) -> int:
+    def blackholed_connections(self) -> int:
         """Connections that have gone silent so far."""
         return len(self._silenced)
 
-    def silence(self) -> None:
+    def blackhole_connections(self) -> None:
         """Pass on nothing more on the open connections, ever."""
         for scope in self._open:
             self._silenced.add(scope)
--- a/libs/standins/src/verbenamill_standins/upstream_server.py
+++ b/libs/standins/src/verbenamill_standins/upstream_server.py
@@ -20,9 +20,9 @@
 )
 
 #: Header by which a caller names a call; echoed in the answer.
-REQUEST_ID = 'x-request-id'
+REQUEST_ID_HEADER = 'x-request-id'
 #: Header that tells which upstream answered.
-UPSTREAM = 'x-upstream'
+UPSTREAM_HEADER = 'x-upstream'
 _logger = logging.getLogger(__name__)
 _JSON = {'content-type': 'application/json'}
 
@@ -199,7 +199,7 @@
         drained = self._draining_since
         if drained is not None and trio.current_time() > drained + GRACE:
             counters.after_drain += 1
-        call_id = asked.headers.get(REQUEST_ID, '')
+        call_id = asked.headers.get(REQUEST_ID_HEADER, '')
         if call_id:
             self._executions[call_id] += 1
             if self._journal is not None:
@@ -231,11 +231,11 @@
         return asked.keep_alive
 
     def _make_answer(self, asked: Message, path: str, plan: Plan) -> bytes:
-        call_id = asked.headers.get(REQUEST_ID, '')
+        call_id = asked.headers.get(REQUEST_ID_HEADER, '')
         headers = {
             'x-version': self._version,
-            REQUEST_ID: call_id,
-            UPSTREAM: self._address,
+            REQUEST_ID_HEADER: call_id,
+            UPSTREAM_HEADER: self._address,
             'x-body-digest': asked.digest,
         }
         if plan.fails:
--- a/libs/standins/tests/test_upstream.py
+++ b/libs/standins/tests/test_upstream.py
@@ -143,7 +143,7 @@
                 await nursery.start(relay.serve, listen)
                 first = await caller.call(listen, 'GET', '/x', headers={})
                 assert first.message.status == 200
-                relay.silence()
+                relay.blackhole_connections()
                 mute = await caller.call(
                     listen, 'GET', '/x', headers={}, timeout=0.2
                 )
