--- a/deploy/tests/test_fleet.py
+++ b/deploy/tests/test_fleet.py
@@ -7,7 +7,7 @@
 from trio.testing import MockClock
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.fleet import find_fleet, find_moves
+from verbenamill_cli.fleet import report_fleet_status, report_moves
 from verbenamill_http.addresses import parse_address
 from verbenamill_platform import PlatformStore
 
@@ -23,7 +23,7 @@
         await site.wait_until_converged()
         await site.wait_until_saved()
         await site.wait_until_configured(1)
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         assert report.code is ExitCode.OK
         assert report.lines[:2] == (
             'configuration published: 1',
@@ -47,7 +47,7 @@
         await site.wait_until_converged()
         await site.wait_until_saved()
         await killed.kill()
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('out of reach')
 
@@ -65,7 +65,7 @@
             False
         )
         site.store.write_as_operator('config', factories.document(2))
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         assert report.code is ExitCode.LAGGING
         assert report.lines[-1].endswith('1, behind')
 
@@ -79,7 +79,7 @@
             {'service': 'entries', 'targetVersion': 'v2', 'durationS': 12},
         )
         store = open_store(site)
-        report = (await find_moves(store)).unwrap()
+        report = (await report_moves(store)).unwrap()
         assert report.lines[1].split() == [
             *('entries', '1', 'v2', '12', 's', 'no', 'verdict', 'yet'),
         ]
@@ -87,7 +87,7 @@
             'rollout/entries',
             b'{"state": "rolled_back", "targetVersion": "v2", "order": 1}',
         )
-        report = (await find_moves(store)).unwrap()
+        report = (await report_moves(store)).unwrap()
         assert report.lines[1].endswith('taken-back')
 
     run_scenario(scenario)
@@ -96,9 +96,9 @@
 def test_an_unavailable_store_is_reported(run_scenario):
     async def scenario(site):
         site.store.is_down = True
-        error = (await find_fleet(open_store(site))).failure()
+        error = (await report_fleet_status(open_store(site))).failure()
         assert error.code is ExitCode.UNAVAILABLE
-        error = (await find_moves(open_store(site))).failure()
+        error = (await report_moves(open_store(site))).failure()
         assert error.code is ExitCode.UNAVAILABLE
 
     run_scenario(scenario)
@@ -120,7 +120,7 @@
                     partial(vm.call, '/lookup/1', id=f'r{number}')
                 )
         await site.wait_until_saved()
-        report = (await find_fleet(open_store(site))).unwrap()
+        report = (await report_fleet_status(open_store(site))).unwrap()
         row = next(line for line in report.lines if line.startswith('vm1'))
         assert re.search(r'2\.5/s since \d{4}-\d\d-\d\dT', row)
         connection = await vm.connect(4)
--- a/libs/daemon/tests/test_daemon.py
+++ b/libs/daemon/tests/test_daemon.py
@@ -24,7 +24,7 @@
     LogServiceSettings,
     VmSettings,
 )
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 UPSTREAM = {
     'service': 'entries',
@@ -92,7 +92,7 @@
     async def scenario(daemon, log, client):
         answer = await client.put('/upstream', json=UPSTREAM)
         assert answer.status_code == 204
-        assert daemon.mesh.own.upstream is not None
+        assert daemon.mesh.own_member.upstream is not None
 
     run(scenario)
 
@@ -105,7 +105,7 @@
             services=(Service(name='entries', version='v1'),),
             routes=(Route(name='e', prefix='/entries', service='entries'),),
         )
-        log.put(CONFIG, encode_record(TicketRecord(ticket=ticket)))
+        log.put(CONFIG_STREAM, encode_record(TicketRecord(ticket=ticket)))
         await wait_until(lambda: daemon.status().version == 0)
         shown = (await client.get('/configuration')).json()
         assert shown['routes']['e']['service'] == 'entries'
@@ -120,7 +120,7 @@
         answer = await client.put('/upstream', json=UPSTREAM | {'slots': 0})
         assert answer.status_code == 400
         assert 'at least 1' in answer.json()['error']
-        assert daemon.mesh.own.upstream is None
+        assert daemon.mesh.own_member.upstream is None
 
     run(scenario)
 
@@ -202,7 +202,7 @@
             nursery.start_soon(daemon.run, trio.Event())
             with trio.fail_after(30):
                 await wait_until(lambda: daemon.mesh.ready)
-            assert daemon.mesh.own.control == '203.0.113.7:7001'
+            assert daemon.mesh.own_member.control == '203.0.113.7:7001'
             host, _, port = daemon.settings.listen.control.rpartition(':')
             await (await trio.open_tcp_stream(host, int(port))).aclose()
             nursery.cancel_scope.cancel()
--- a/libs/mesh/src/verbenamill_mesh/gateways.py
+++ b/libs/mesh/src/verbenamill_mesh/gateways.py
@@ -14,11 +14,11 @@
 
 from verbenamill_mesh.exchange import Meet
 from verbenamill_mesh.members import Members
-from verbenamill_mesh.newest import read_newest
+from verbenamill_mesh.newest_records import read_newest_records
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import GATEWAYS
+from verbenamill_runtime.streams import GATEWAYS_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone
 from verbenamill_runtime import Log
@@ -85,16 +85,16 @@
         return tuple(dict.fromkeys(found))
 
     async def _write(self) -> None:
-        own = self._peers.own
+        own = self._peers.own_member
         mates = list(self._members.in_zone(own.availability_zone).values())
         some = self._random.sample(mates, min(len(mates), MAX_ADDRESSES - 1))
         addresses = dict.fromkeys(
             (own.control, *(member.control for member in some)),
         )
         record = GatewaysRecord(own.availability_zone, tuple(addresses))
-        self._stats.count_log(GATEWAYS)
+        self._stats.count_log_request(GATEWAYS_STREAM)
         outcome = await self._log.append(
-            GATEWAYS,
+            GATEWAYS_STREAM,
             msgspec.json.encode(record),
         )
         if isinstance(outcome, Failure):
@@ -117,8 +117,10 @@
             await self._meet(address)
 
     async def _read(self) -> list[GatewaysRecord]:
-        self._stats.count_log(GATEWAYS)
-        outcome = await read_newest(self._log, GATEWAYS, LOOK_BACK)
+        self._stats.count_log_request(GATEWAYS_STREAM)
+        outcome = await read_newest_records(
+            self._log, GATEWAYS_STREAM, LOOK_BACK
+        )
         if isinstance(outcome, Failure):
             return []
         read = map(_decode, outcome.unwrap())
@@ -129,5 +131,5 @@
     try:
         return _decoder.decode(entry.body)
     except msgspec.MsgspecError:
-        log(Event.MESSAGE_UNKNOWN, kind=f'{GATEWAYS} {entry.offset}')
+        log(Event.MESSAGE_UNKNOWN, kind=f'{GATEWAYS_STREAM} {entry.offset}')
         return None
--- a/libs/mesh/src/verbenamill_mesh/reader.py
+++ b/libs/mesh/src/verbenamill_mesh/reader.py
@@ -17,7 +17,7 @@
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, LogPage, full_jitter
@@ -65,7 +65,7 @@
             if self._peers.is_reader:
                 log(
                     Event.READER_CHOSEN,
-                    availability_zone=self._peers.own.availability_zone,
+                    availability_zone=self._peers.own_member.availability_zone,
                 )
                 await self._read_while_well()
             await trio.sleep(ROLE_WAIT.total_seconds())
@@ -89,12 +89,12 @@
 
     async def _read_page(self) -> bool:
         """Read once; whether that went well."""
-        self._stats.count_log(CONFIG)
+        self._stats.count_log_request(CONFIG_STREAM)
         # Held open by a quiet log, the first read would keep a daemon that
         # has caught up from saying so for a whole long poll.
         is_ready = self._stats.ready
         outcome = await self._log.read(
-            CONFIG,
+            CONFIG_STREAM,
             Offset(self._configuration.state.offset + 1),
             wait=self._settings.long_poll if is_ready else timedelta(0),
         )
--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_mesh import Configuration, MeshSettings
-from verbenamill_runtime.streams import CHECKPOINTS, CONFIG
+from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 from verbenamill_mesh.checkpoints import CheckpointRecord
 from verbenamill_mesh.messages import (
     Busy,
@@ -56,7 +56,7 @@
 
 
 def is_reader(daemon):
-    return daemon.mesh.stats().log_requests.get(CONFIG, 0) > 0
+    return daemon.mesh.stats().log_requests.get(CONFIG_STREAM, 0) > 0
 
 
 def test_both_readers_die_and_tickets_go_on(run_fleet):
@@ -93,7 +93,7 @@
         await start_two_zones(fleet)
         fleet.network.silence_links()
         offset = fleet.publish()
-        fleet.daemons['a-1'].mesh.announce(upstream('draining'))
+        fleet.daemons['a-1'].mesh.announce_upstream(upstream('draining'))
         await wait_until(lambda: fleet.all_at(offset), within=WITHIN_3_S)
         await wait_until(
             lambda: all(
@@ -119,7 +119,7 @@
         await start_two_zones(fleet, size=8)
         deaf = {'a-2', 'a-3', 'a-5', 'b-1', 'b-2', 'b-4', 'b-6'}
         fleet.network.is_lost = lambda _, target: target in deaf
-        fleet.daemons['a-1'].mesh.announce(upstream('draining'))
+        fleet.daemons['a-1'].mesh.announce_upstream(upstream('draining'))
         await trio.sleep(0.8)
         fleet.network.is_lost = lambda *_: False
         await wait_until(
@@ -165,7 +165,7 @@
             for daemon in daemons_of(fleet):
                 nursery.start_soon(daemon.mesh.leave)
         for name, daemon in fleet.daemons.items():
-            assert daemon.mesh.own.id == name
+            assert daemon.mesh.own_member.id == name
             assert name not in daemon.mesh.members()
         # What the task that tells the other zone may find when it runs.
         peers = fleet.daemons['a-0'].mesh._peers
@@ -242,7 +242,7 @@
         await wait_until(lambda: fleet.all_at(first))
         logs['b'].is_down = True
         for daemon in daemons_of(fleet, 'b'):
-            daemon.mesh.cut(frozenset('a'))
+            daemon.mesh.set_cut_zones(frozenset('a'))
         offset = fleet.publish()
         fleet.daemons['b-1'].mesh.put('moves', 'm', b'veto')
         await trio.sleep(60)
@@ -252,7 +252,7 @@
         )
         assert not any(d.mesh.entries('moves') for d in daemons_of(fleet, 'a'))
         for daemon in daemons_of(fleet, 'b'):
-            daemon.mesh.cut(frozenset())
+            daemon.mesh.set_cut_zones(frozenset())
         await wait_until(lambda: fleet.all_at(offset), within=WITHIN_10_S)
         await wait_until(
             lambda: all(d.mesh.entries('moves') for d in daemons_of(fleet)),
@@ -405,8 +405,8 @@
 
     pause = timedelta(0)
 
-    def elapsed(self):
-        return super().elapsed() + self.pause
+    def monotonic(self):
+        return super().monotonic() + self.pause
 
 
 def test_a_daemon_that_catches_up_is_not_ready_yet(run_fleet):
@@ -528,7 +528,7 @@
         await start_two_zones(fleet, size=2)
         fleet.publish()
         await trio.sleep(300)
-        written = fleet.log.records(CHECKPOINTS)
+        written = fleet.log.records(CHECKPOINTS_STREAM)
         age = TrioClock(EPOCH).now() - written[-1].at
         assert age < timedelta(minutes=2)
         assert len(written) < 8, 'one writer, not one a daemon or zone'
@@ -571,7 +571,7 @@
             await trio.sleep(1)
         await trio.sleep(90)
         fleet.kill('a-0')
-        fleet.log.put(CHECKPOINTS, old)
+        fleet.log.put(CHECKPOINTS_STREAM, old)
         fresh = await fleet.start('a-1', zone='a', seeds=())
         await wait_until(lambda: fresh.mesh.ready)
         assert fresh.offset == offset
@@ -594,7 +594,7 @@
 
     async def read(self, stream, start, **options):
         page = await super().read(stream, start, **options)
-        if stream != CONFIG or isinstance(page, Failure):
+        if stream != CONFIG_STREAM or isinstance(page, Failure):
             return page
         whole = page.unwrap()
         entries = tuple(e for e in whole.entries if e.offset != self.hole)
--- a/libs/mesh/tests/test_mesh.py
+++ b/libs/mesh/tests/test_mesh.py
@@ -5,7 +5,7 @@
 import trio
 
 from verbenamill_mesh import Configuration, Mesh
-from verbenamill_runtime.streams import CONFIG
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_mesh.testing import MemoryLog, wait_until
 from verbenamill_model.traffic import Member, Upstream
 from verbenamill_runtime import SystemClock
@@ -44,7 +44,7 @@
         async with trio.open_nursery() as nursery:
             for mesh, _ in meshes:
                 await nursery.start(mesh.run)
-            log.put(CONFIG, b'broken')
+            log.put(CONFIG_STREAM, b'broken')
             await wait_until(
                 lambda: all(
                     len(mesh.members()) == 3
@@ -83,7 +83,7 @@
     async def scenario(fleet):
         await start_zones(fleet)
         first = fleet.daemons['a-1'].mesh
-        first.announce(
+        first.announce_upstream(
             Upstream(
                 service='s', version='v', state='ready', slots=1, connections=1
             )
@@ -104,7 +104,7 @@
     async def scenario(fleet):
         await start_zones(fleet)
         got = []
-        fleet.daemons['b-2'].mesh.handle(
+        fleet.daemons['b-2'].mesh.set_handler(
             'report', lambda sender, body: got.append((sender, body))
         )
         fleet.daemons['a-1'].mesh.send('b-2', 'report', b'counts')
