--- a/libs/moves/src/verbenamill_moves/__init__.py
+++ b/libs/moves/src/verbenamill_moves/__init__.py
@@ -7,10 +7,13 @@
     SendReport,
     WriteAuditLine,
 )
-from verbenamill_moves.choice import choose_decider, is_report_due
 from verbenamill_moves.decider import Decider
+from verbenamill_moves.decider_selection import choose_decider, is_report_due
+from verbenamill_moves.decision_input import (
+    THRESHOLDS_BY_PROFILE,
+    DecisionThresholds,
+)
 from verbenamill_moves.evidence import EvidenceCollector
-from verbenamill_moves.split import split_traffic
 from verbenamill_moves.state import (
     MOVES_TOPIC,
     REPORT_KIND,
@@ -20,7 +23,7 @@
     merge_states,
     move_key,
 )
-from verbenamill_moves.view import THRESHOLDS_BY_PROFILE, DecisionThresholds
+from verbenamill_moves.traffic_split import split_traffic
 
 __all__ = (
     'MOVES_TOPIC',
--- a/libs/moves/src/verbenamill_moves/decider.py
+++ b/libs/moves/src/verbenamill_moves/decider.py
@@ -23,19 +23,23 @@
     SendReport,
     WriteAuditLine,
 )
-from verbenamill_moves.choice import choose_decider, owns, weigh
-from verbenamill_moves.doubt import find_veto
-from verbenamill_moves.evidence import Report, decode_report
-from verbenamill_moves.growth import find_growth
-from verbenamill_moves.stages import FULL_STAGE, STAGES
-from verbenamill_moves.state import MoveState, join
-from verbenamill_moves.tally import MoveTally
-from verbenamill_moves.view import (
+from verbenamill_moves.decider_selection import (
+    choose_decider,
+    owns_upstream_of,
+    rendezvous_weight,
+)
+from verbenamill_moves.decision_input import (
     THRESHOLDS_BY_PROFILE,
+    DecisionInput,
     DecisionThresholds,
-    View,
     is_ready,
 )
+from verbenamill_moves.evidence import Report, decode_report
+from verbenamill_moves.move_evidence import MoveEvidence
+from verbenamill_moves.stage_advance import find_stage_advance
+from verbenamill_moves.stages import FULL_STAGE, STAGES
+from verbenamill_moves.state import MoveState, join_states
+from verbenamill_moves.vetoes import find_veto
 
 #: A decider that did not step for so long was paused,
 _PAUSE = timedelta(seconds=3)
@@ -59,7 +63,7 @@
     :param relays: steps at which other zones were told sums.
     """
 
-    tally: MoveTally
+    tally: MoveEvidence
     listening_since: datetime
     first_ready: datetime | None = None
     stage: int = 0
@@ -161,7 +165,7 @@
         self._moves = {
             move.id: move
             for move in running
-            if move and me and owns(me, move.service)
+            if move and me and owns_upstream_of(me, move.service)
         }
         services = {move.service for move in self._moves.values()}
         # A zone has many members and few of them own the moved service.
@@ -184,7 +188,7 @@
     def _progress_of(self, move: Move, now: datetime) -> _Progress:
         if move.id not in self._progress:
             self._progress[move.id] = _Progress(
-                tally=MoveTally(
+                tally=MoveEvidence(
                     move,
                     availability_zone=self._zone,
                     alpha=self._cautions[move.profile].alpha,
@@ -206,7 +210,7 @@
         step = self._next_state(view, progress)
         if step is not None:
             told, reason = step
-            state = join(state, told)
+            state = join_states(state, told)
             yield PublishState(move=move.id, state=state)
             yield WriteAuditLine(
                 at=now, move=move.id, service=move.service, text=reason
@@ -220,13 +224,13 @@
         state: MoveState,
         progress: _Progress,
         now: datetime,
-    ) -> View:
+    ) -> DecisionInput:
         tally = progress.tally
         if progress.first_ready is None and any(
             is_ready(member, move) for member in self._members.values()
         ):
             progress.first_ready = now
-        return View(
+        return DecisionInput(
             move=move,
             availability_zone=self._zone,
             state=state,
@@ -244,7 +248,7 @@
 
     def _next_state(
         self,
-        view: View,
+        view: DecisionInput,
         progress: _Progress,
     ) -> tuple[MoveState, str] | None:
         """What to add to the move's state and why, if anything."""
@@ -260,7 +264,7 @@
         if view.stage and view.now < progress.listening_since + _SETTLE_IN:
             return None
         stage_calls = view.calls - progress.stage_began_with
-        grown = find_growth(view, stage_calls=stage_calls)
+        grown = find_stage_advance(view, stage_calls=stage_calls)
         if grown is None:
             return None
         share = STAGES[grown.stage].share
@@ -269,7 +273,7 @@
 
     def _settle(
         self,
-        view: View,
+        view: DecisionInput,
         state: MoveState,
         progress: _Progress,
     ) -> Iterator[AppendVerdict]:
@@ -296,7 +300,9 @@
             ),
         )
 
-    def _relay(self, view: View, progress: _Progress) -> Iterator[SendReport]:
+    def _relay(
+        self, view: DecisionInput, progress: _Progress
+    ) -> Iterator[SendReport]:
         """Tell the other zones what this one saw.
 
         A service with few calls shows a bad version soon enough only when
@@ -316,12 +322,14 @@
             if to is not None:
                 yield SendReport(recipient=to, body=body)
 
-    def _rank(self, view: View) -> int:
-        own = weigh(view.move.id, self._zone)
-        return sum(weigh(view.move.id, zone) > own for zone in view.zones)
+    def _rank(self, view: DecisionInput) -> int:
+        own = rendezvous_weight(view.move.id, self._zone)
+        return sum(
+            rendezvous_weight(view.move.id, zone) > own for zone in view.zones
+        )
 
 
-def _find_verdict(view: View, state: MoveState) -> VerdictKind | None:
+def _find_verdict(view: DecisionInput, state: MoveState) -> VerdictKind | None:
     if state.veto:
         return VerdictKind.TAKEN_BACK
     if state.stages.get(view.availability_zone, 0) < FULL_STAGE:
--- a/libs/moves/src/verbenamill_moves/choice.py
+++ b/libs/moves/src/verbenamill_moves/decider_selection.py
@@ -12,7 +12,7 @@
 from verbenamill_model.typing import AvailabilityZone, Offset, ServiceName, VmId
 
 #: Owners of an availability zone that report in one period.
-REPORTS_A_PERIOD = 6
+MAX_REPORTS_PER_PERIOD = 6
 
 
 def choose_decider(
@@ -32,12 +32,14 @@
         member.id
         for member in members.values()
         if member.availability_zone == availability_zone
-        and owns(member, move.service)
+        and owns_upstream_of(member, move.service)
+    )
+    return max(
+        candidates, key=lambda vm: rendezvous_weight(move.id, vm), default=None
     )
-    return max(candidates, key=lambda vm: weigh(move.id, vm), default=None)
 
 
-def owns(member: Member, service: ServiceName) -> bool:
+def owns_upstream_of(member: Member, service: ServiceName) -> bool:
     """Whether a member's upstream is one of a service."""
     return member.upstream is not None and member.upstream.service == service
 
@@ -66,10 +68,10 @@
     )
     if vm not in mates:
         return False
-    turns = -(-len(mates) // REPORTS_A_PERIOD)
+    turns = -(-len(mates) // MAX_REPORTS_PER_PERIOD)
     return (mates.index(vm) + period) % turns == 0
 
 
-def weigh(move: Offset, name: str) -> bytes:
+def rendezvous_weight(move: Offset, name: str) -> bytes:
     """Weight of a name for a move; the highest one wins."""
     return hashlib.blake2b(f'{move}/{name}'.encode(), digest_size=8).digest()
--- a/libs/moves/src/verbenamill_moves/view.py
+++ b/libs/moves/src/verbenamill_moves/decision_input.py
@@ -13,8 +13,8 @@
     UpstreamState,
     VmId,
 )
-from verbenamill_moves.choice import owns
-from verbenamill_moves.route_tally import Finding
+from verbenamill_moves.decider_selection import owns_upstream_of
+from verbenamill_moves.route_evidence import Finding
 from verbenamill_moves.stages import Plan, plan_move
 from verbenamill_moves.state import MoveState
 
@@ -49,7 +49,7 @@
 }
 
 
-class View(Struct, frozen=True, kw_only=True):
+class DecisionInput(Struct, frozen=True, kw_only=True):
     """One move as its decider sees it at one step.
 
     :param availability_zone: the decider's own.
@@ -80,7 +80,7 @@
         return {
             member.availability_zone
             for member in self.members.values()
-            if owns(member, self.move.service)
+            if owns_upstream_of(member, self.move.service)
         }
 
     @property
--- a/libs/moves/src/verbenamill_moves/histogram.py
+++ b/libs/moves/src/verbenamill_moves/histogram.py
@@ -8,7 +8,7 @@
 #: Buckets that double the latency.
 _PER_DOUBLING = 3
 #: Number of buckets; the last one, beyond 65 s, has no upper bound.
-BUCKETS = 16 * _PER_DOUBLING + 1
+BUCKET_COUNT = 16 * _PER_DOUBLING + 1
 
 #: Calls per bucket number; buckets without calls are left out.
 Histogram = dict[int, int]
@@ -19,7 +19,7 @@
     ratio = latency / _FIRST
     if ratio <= 1:
         return 0
-    return min(ceil(log2(ratio) * _PER_DOUBLING), BUCKETS - 1)
+    return min(ceil(log2(ratio) * _PER_DOUBLING), BUCKET_COUNT - 1)
 
 
 def buckets_for(factor: float) -> int:
@@ -27,19 +27,19 @@
     return ceil(log2(factor) * _PER_DOUBLING)
 
 
-def count(histogram: Histogram) -> int:
+def count_calls(histogram: Histogram) -> int:
     """Calls in a histogram."""
     return sum(histogram.values())
 
 
-def count_beyond(histogram: Histogram, bucket: int) -> int:
+def count_slower(histogram: Histogram, bucket: int) -> int:
     """Calls slower than a bucket."""
     return sum(calls for number, calls in histogram.items() if number > bucket)
 
 
 def quantile(histogram: Histogram, fraction: float) -> int:
     """Bucket at or below which a fraction of the calls are."""
-    wanted = count(histogram) * fraction
+    wanted = count_calls(histogram) * fraction
     seen = 0
     for number in sorted(histogram):
         seen += histogram[number]
--- a/libs/moves/src/verbenamill_moves/instances.py
+++ b/libs/moves/src/verbenamill_moves/instance_faults.py
@@ -32,7 +32,7 @@
     last_bad: datetime | None = None
 
 
-class Instances:
+class InstanceFaults:
     """Recent calls of each instance of the new version.
 
     An upstream that crashes fails its calls until it is missed. The symptom
--- a/libs/moves/src/verbenamill_moves/likelihood.py
+++ b/libs/moves/src/verbenamill_moves/likelihood.py
@@ -48,7 +48,7 @@
 _TINY = 1e-290
 
 
-class Pair(Struct, frozen=True):
+class PairedCounts(Struct, frozen=True):
     """Calls and bad calls of both versions in the same interval."""
 
     new: float = 0
@@ -58,7 +58,7 @@
 
     def plus(self, other: 'Pair') -> 'Pair':
         """Sum of two pairs."""
-        return Pair(
+        return PairedCounts(
             self.new + other.new,
             self.new_bad + other.new_bad,
             self.old + other.old,
@@ -67,7 +67,7 @@
 
     def scaled(self, factor: float) -> 'Pair':
         """All counts times a factor."""
-        return Pair(
+        return PairedCounts(
             self.new * factor,
             self.new_bad * factor,
             self.old * factor,
@@ -95,9 +95,9 @@
         self._floor = floor
         self._excesses = excesses
         self._turns_bad = 1 / max(length, 1)
-        self._old = Pair()
-        self._own = [Pair() for _ in _OWN_CALLS]
-        self._common = Pair()
+        self._old = PairedCounts()
+        self._own = [PairedCounts() for _ in _OWN_CALLS]
+        self._common = PairedCounts()
         # Calm: no fault of both versions; the first place of each list is a
         # good version, the others are the models of badness.
         models = len(excesses) + len(_OWN_CALLS)
@@ -113,7 +113,7 @@
         """Natural logarithm of the likelihood ratio, above 0 against."""
         return self._weight
 
-    def update(self, pair: Pair, *, elapsed: float) -> None:
+    def update(self, pair: PairedCounts, *, elapsed: float) -> None:
         """Take in the calls of one step.
 
         :param elapsed: seconds since the last update.
@@ -142,7 +142,7 @@
         own = (max(_rate_of_new(known, least), least) for known in self._own)
         return [*rates, *own]
 
-    def _common_likelihood(self, pair: Pair, usual: float) -> float:
+    def _common_likelihood(self, pair: PairedCounts, usual: float) -> float:
         """Likelihood of the step at one rate of both versions.
 
         The rate of the last steps or a fresh one, whichever makes the good
@@ -156,14 +156,14 @@
         steadily = _log_likelihood(calls, bad, steady)
         changed = _log_likelihood(calls, bad, fresh) - _CHANGE_COSTS
         if changed > steadily:
-            self._common = Pair()
+            self._common = PairedCounts()
         self._common = self._common.plus(pair)
         known = self._common.new + self._common.old
         if known > _COMMON_CALLS:
             self._common = self._common.scaled(_COMMON_CALLS / known)
         return max(steadily, changed)
 
-    def _learn(self, pair: Pair) -> None:
+    def _learn(self, pair: PairedCounts) -> None:
         self._old = self._old.plus(pair)
         if self._old.old > _MEMORY_CALLS:
             self._old = self._old.scaled(1 / 2)
@@ -218,12 +218,12 @@
         self._good_fault /= good_total
 
 
-def _rate_of(pair: Pair, usual: float) -> float:
+def _rate_of(pair: PairedCounts, usual: float) -> float:
     rate = (pair.new_bad + pair.old_bad + usual) / (pair.new + pair.old + 1)
     return min(rate, _HIGHEST)
 
 
-def _rate_of_new(pair: Pair, usual: float) -> float:
+def _rate_of_new(pair: PairedCounts, usual: float) -> float:
     return min((pair.new_bad + usual) / (pair.new + 1), _HIGHEST)
 
 
--- a/libs/moves/src/verbenamill_moves/tally.py
+++ b/libs/moves/src/verbenamill_moves/move_evidence.py
@@ -22,12 +22,12 @@
     VersionCounts,
     encode_report,
 )
-from verbenamill_moves.histogram import add_histogram, count_beyond
-from verbenamill_moves.instances import Instances
-from verbenamill_moves.route_tally import (
+from verbenamill_moves.histogram import add_histogram, count_slower
+from verbenamill_moves.instance_faults import InstanceFaults
+from verbenamill_moves.route_evidence import (
     Fault,
     Finding,
-    RouteTally,
+    RouteEvidence,
     Scope,
     add_counts,
 )
@@ -71,7 +71,7 @@
     counts: RouteCounts
 
 
-class MoveTally:
+class MoveEvidence:
     """Evidence on one move from the reports of its owners.
 
     :param alpha: probability of finding a good version bad, over all
@@ -93,7 +93,7 @@
         self._length = (move.deadline - move.accepted_at).total_seconds()
         self._reports: dict[VmId, Report] = {}
         self._routes = {_TOTAL: self._make_route()}
-        self._instances = {fault: Instances() for fault in Fault}
+        self._instances = {fault: InstanceFaults() for fault in Fault}
         self._received: list[_Received] = []
         self._sums: dict[tuple[VersionName, RouteName], RouteCounts] = {}
         self._sequence = 0
@@ -118,7 +118,7 @@
         return any(
             trial.shown.new_bad >= _WORSE_CALLS
             and trial.shown.new_bad > _WORSE * trial.shown.new
-            for fault, _, trial in self._routes[_TOTAL].weigh()
+            for fault, _, trial in self._routes[_TOTAL].iterate_tests()
             if fault is Fault.FAILURES
         )
 
@@ -230,7 +230,7 @@
                 pair=trial.shown,
             )
             for route, tally in self._routes.items()
-            for fault, scope, trial in tally.weigh()
+            for fault, scope, trial in tally.iterate_tests()
         )
         return max(findings, key=lambda found: found.weight, default=None)
 
@@ -261,7 +261,7 @@
         for sender, counts in totals.items():
             slow = 0
             if limit is not None:
-                slow = count_beyond(counts.latencies, limit)
+                slow = count_slower(counts.latencies, limit)
             bad = {Fault.FAILURES: counts.failed, Fault.SLOWNESS: slow}
             for fault, instances in self._instances.items():
                 instances.add(sender, counts.answered, bad[fault], now=now)
@@ -287,15 +287,15 @@
             empty = RouteCounts(counts.route)
             _add_sums(self._sums.setdefault(place, empty), counts)
 
-    def _tally_of(self, route: RouteName) -> RouteTally:
+    def _tally_of(self, route: RouteName) -> RouteEvidence:
         if route not in self._routes:
             if len(self._routes) > _MAX_ROUTES:
                 route = OTHER_ROUTES
             self._routes.setdefault(route, self._make_route())
         return self._routes[route]
 
-    def _make_route(self) -> RouteTally:
-        return RouteTally(length=self._length, now=self._began_at)
+    def _make_route(self) -> RouteEvidence:
+        return RouteEvidence(length=self._length, now=self._began_at)
 
 
 def _add_shed(total: _Shed, counts: RouteCounts) -> None:
--- a/libs/moves/src/verbenamill_moves/route_tally.py
+++ b/libs/moves/src/verbenamill_moves/route_evidence.py
@@ -14,11 +14,11 @@
     Histogram,
     add_histogram,
     buckets_for,
-    count,
-    count_beyond,
+    count_calls,
+    count_slower,
     quantile,
 )
-from verbenamill_moves.likelihood import LikelihoodTest, Pair
+from verbenamill_moves.likelihood import LikelihoodTest, PairedCounts
 
 #: A call is slow beyond this quantile of the old version's earlier calls
 #: times this factor; at least so many calls have to be known.
@@ -74,7 +74,7 @@
     scope: str
     weight: float
     needed: float
-    pair: Pair
+    pair: PairedCounts
 
     @property
     def conclusive(self) -> bool:
@@ -100,17 +100,19 @@
     failed: int = 0
     latencies: Histogram = msgspec.field(default_factory=dict)
 
-    def pair_with(self, old: '_Side', fault: Fault, slow: int | None) -> Pair:
+    def pair_with(
+        self, old: '_Side', fault: Fault, slow: int | None
+    ) -> PairedCounts:
         """Calls of both versions that say something about a fault."""
         if fault is Fault.FAILURES:
-            return Pair(self.calls, self.failed, old.calls, old.failed)
+            return PairedCounts(self.calls, self.failed, old.calls, old.failed)
         if slow is None:
-            return Pair()
-        return Pair(
-            count(self.latencies),
-            count_beyond(self.latencies, slow),
-            count(old.latencies),
-            count_beyond(old.latencies, slow),
+            return PairedCounts()
+        return PairedCounts(
+            count_calls(self.latencies),
+            count_slower(self.latencies, slow),
+            count_calls(old.latencies),
+            count_slower(old.latencies, slow),
         )
 
 
@@ -121,16 +123,16 @@
     old: _Side = msgspec.field(default_factory=_Side)
 
 
-class Trial:
+class DelayedTest:
     """One test and the calls it is about to judge."""
 
     def __init__(self, test: LikelihoodTest, now: datetime) -> None:
         self.test = test
-        self.shown = Pair()
-        self._before = Pair()
+        self.shown = PairedCounts()
+        self._before = PairedCounts()
         self._updated_at = now
 
-    def update(self, pair: Pair, now: datetime) -> None:
+    def update(self, pair: PairedCounts, now: datetime) -> None:
         """Judge the step before, now that its surroundings are known.
 
         Owners report at different moments, so one side of a fault of both
@@ -138,7 +140,7 @@
         version's calls against the old one's of the same step and the next
         keeps such a fault from looking like one of the new version.
         """
-        judged = Pair(
+        judged = PairedCounts(
             self._before.new,
             self._before.new_bad,
             (self._before.old + pair.old) / 2,
@@ -153,7 +155,7 @@
         self.shown = self.shown.scaled(_SHOWN_MEMORY).plus(judged)
 
 
-class RouteTally:
+class RouteEvidence:
     """Evidence on one route, or on all together."""
 
     def __init__(self, *, length: float, now: datetime) -> None:
@@ -161,7 +163,7 @@
         self._history: Histogram = {}
         self._slow_beyond: int | None = None
         self._trials = {
-            (fault, scope): Trial(
+            (fault, scope): DelayedTest(
                 LikelihoodTest(
                     floor=kind.floor,
                     excesses=kind.excesses,
@@ -190,7 +192,7 @@
         self._learn()
         self.steps.clear()
 
-    def weigh(self) -> Iterator[tuple[Fault, Scope, Trial]]:
+    def iterate_tests(self) -> Iterator[tuple[Fault, Scope, DelayedTest]]:
         """Evidence so far."""
         for (fault, scope), trial in self._trials.items():
             yield fault, scope, trial
@@ -203,7 +205,7 @@
         """
         for step in self.steps.values():
             add_histogram(self._history, step.old.latencies)
-        calls = count(self._history)
+        calls = count_calls(self._history)
         if calls > _SLOW_MEMORY:
             self._history = {
                 bucket: calls // 2 for bucket, calls in self._history.items()
@@ -213,7 +215,7 @@
             self._slow_beyond = usual + buckets_for(_SLOW_FACTOR)
 
 
-def _pool(pairs: Iterable[Pair]) -> Pair:
+def _pool(pairs: Iterable[PairedCounts]) -> PairedCounts:
     """Join the calls of several zones.
 
     A fault of both versions in one zone, when that zone's share of the new
@@ -221,7 +223,7 @@
     old version's rates by the new one's calls takes that away; with few
     calls the difference is too small to matter.
     """
-    total = Pair()
+    total = PairedCounts()
     weighted = float(0)
     fair = True
     for pair in pairs:
@@ -233,7 +235,7 @@
     if not fair or not total.new:
         return total
     bad = total.old * weighted / total.new
-    return Pair(total.new, total.new_bad, total.old, bad)
+    return PairedCounts(total.new, total.new_bad, total.old, bad)
 
 
 def add_counts(side: _Side, counts: RouteCounts) -> None:
--- a/libs/moves/src/verbenamill_moves/growth.py
+++ b/libs/moves/src/verbenamill_moves/stage_advance.py
@@ -3,6 +3,7 @@
 from msgspec import Struct
 
 from verbenamill_model.typing import Profile
+from verbenamill_moves.decision_input import DecisionInput
 from verbenamill_moves.stages import (
     CANARY_STAGE,
     FULL_STAGE,
@@ -10,7 +11,6 @@
     STAGES,
     Plan,
 )
-from verbenamill_moves.view import View
 
 #: Fraction of the plan at which an on-time move grows in spite of suspicion.
 _NO_MORE_WAITING = 0.85
@@ -22,14 +22,16 @@
 _CONTROL_UNTIL = 0.88
 
 
-class Growth(Struct, frozen=True):
+class StageAdvance(Struct, frozen=True):
     """A stage that begins, and why."""
 
     stage: int
     reason: str
 
 
-def find_growth(view: View, *, stage_calls: int) -> Growth | None:
+def find_stage_advance(
+    view: DecisionInput, *, stage_calls: int
+) -> StageAdvance | None:
     """The stage that begins now and why, or ``None``.
 
     :param stage_calls: calls of the new version since the last one began.
@@ -40,16 +42,16 @@
         return None
     if view.availability_zone not in ready:
         led = min(view.state.stages.get(zone, 0) for zone in ready)
-        return Growth(led, 'other zones lead') if stage < led else None
+        return StageAdvance(led, 'other zones lead') if stage < led else None
     if stage >= CANARY_STAGE and view.now >= view.plan.settle:
-        return Growth(FULL_STAGE, f'the plan, after {view.calls} calls')
+        return StageAdvance(FULL_STAGE, f'the plan, after {view.calls} calls')
     clean = stage_calls >= _STAGE_CALLS
     reason = _find_due(view, view.plan, stage + 1, clean=clean)
-    return Growth(stage + 1, reason) if reason else None
+    return StageAdvance(stage + 1, reason) if reason else None
 
 
 def _find_due(
-    view: View,
+    view: DecisionInput,
     plan: Plan,
     stage: int,
     *,
@@ -69,7 +71,7 @@
     return None
 
 
-def _has_to_wait(view: View, plan: Plan, stage: int) -> bool:
+def _has_to_wait(view: DecisionInput, plan: Plan, stage: int) -> bool:
     if view.refuses or (view.suspicious and _can_wait(view, plan)):
         return True
     control = view.call_rate * (1 - STAGES[stage].share)
@@ -77,7 +79,7 @@
     return stage >= HOLD_STAGE and control < _CONTROL_RATE and not late
 
 
-def _can_wait(view: View, plan: Plan) -> bool:
+def _can_wait(view: DecisionInput, plan: Plan) -> bool:
     """Whether suspicion may hold a move back a little longer."""
     cautious = view.move.profile is Profile.CAUTIOUS
     return cautious or view.now < plan.time_of(_NO_MORE_WAITING)
--- a/libs/moves/src/verbenamill_moves/state.py
+++ b/libs/moves/src/verbenamill_moves/state.py
@@ -57,10 +57,12 @@
     """Merge two encoded states; order and repetition make no difference."""
     known = None if old is None else _decode(old)
     told = _decode(new)
-    return encode_move_state(join(known or MoveState(), told or MoveState()))
+    return encode_move_state(
+        join_states(known or MoveState(), told or MoveState())
+    )
 
 
-def join(one: MoveState, other: MoveState) -> MoveState:
+def join_states(one: MoveState, other: MoveState) -> MoveState:
     """Merge two states: the higher stage per zone, and either one's veto."""
     zones = {*one.stages, *other.stages}
     reasons = {one.reason, other.reason} - {''}
--- a/libs/moves/src/verbenamill_moves/doubt.py
+++ b/libs/moves/src/verbenamill_moves/vetoes.py
@@ -2,11 +2,11 @@
 
 from verbenamill_model.checks import MIN_MOVE
 from verbenamill_model.typing import Profile
+from verbenamill_moves.decision_input import DecisionInput
 from verbenamill_moves.stages import CANARY_STAGE, FULL_STAGE
-from verbenamill_moves.view import View
 
 
-def find_veto(view: View) -> str | None:
+def find_veto(view: DecisionInput) -> str | None:
     """Why the new version is to get no traffic, or ``None``."""
     finding = view.finding
     if finding is not None and finding.conclusive:
@@ -20,7 +20,7 @@
     return None
 
 
-def _find_doubt(view: View) -> str | None:
+def _find_doubt(view: DecisionInput) -> str | None:
     """Why a move is not to be completed at its deadline, or ``None``."""
     finding = view.finding
     if (
@@ -39,7 +39,7 @@
     return _find_few_calls(view)
 
 
-def _find_few_calls(view: View) -> str | None:
+def _find_few_calls(view: DecisionInput) -> str | None:
     wanted = view.caution.min_calls
     if view.calls < wanted:
         return (
@@ -49,7 +49,7 @@
     return None
 
 
-def _find_lateness(view: View, begun: int) -> str | None:
+def _find_lateness(view: DecisionInput, begun: int) -> str | None:
     """Why a version that came late is not to get all calls at once.
 
     Its canary was too short to tell anything; the symptom of going on would
--- a/libs/moves/tests/test_choice.py
+++ b/libs/moves/tests/test_decider_selection.py
@@ -3,7 +3,7 @@
 from verbenamill_model.traffic import Member, Upstream
 from verbenamill_model.typing import UpstreamState
 from verbenamill_moves import SendReport, is_report_due
-from verbenamill_moves.choice import REPORTS_A_PERIOD
+from verbenamill_moves.decider_selection import MAX_REPORTS_PER_PERIOD
 
 
 def make_owners(count):
@@ -43,7 +43,7 @@
             for vm in owners
             if is_report_due(vm, 'az-1', owners, period=period)
         ]
-        assert len(senders) <= REPORTS_A_PERIOD
+        assert len(senders) <= MAX_REPORTS_PER_PERIOD
         heard.extend(senders)
     assert sorted(heard) == sorted(owners)
 
--- a/libs/moves/tests/test_evidence.py
+++ b/libs/moves/tests/test_evidence.py
@@ -12,7 +12,7 @@
     OTHER_ROUTES,
     decode_report,
 )
-from verbenamill_moves.histogram import BUCKETS, bucket_of
+from verbenamill_moves.histogram import BUCKET_COUNT, bucket_of
 
 FAST = timedelta(milliseconds=20)
 
@@ -92,7 +92,7 @@
         observe(evidence, 1, version=f'v{number}')
     report = decode_report(evidence.report())
     assert len(report.versions) <= 4
-    assert bucket_of(timedelta(hours=1)) == BUCKETS - 1
+    assert bucket_of(timedelta(hours=1)) == BUCKET_COUNT - 1
 
 
 def test_routes_beyond_the_bound_count_together(evidence):
--- a/libs/moves/tests/test_likelihood.py
+++ b/libs/moves/tests/test_likelihood.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from verbenamill_moves.likelihood import LikelihoodTest, Pair
+from verbenamill_moves.likelihood import LikelihoodTest, PairedCounts
 
 EXCESSES = (0.02, 0.07, 0.2, 0.5, 0.95)
 STEP = 0.5
@@ -18,7 +18,7 @@
             (calls, sum(random.random() < rate(step) for _ in range(calls)))
             for calls, rate in ((new, new_rate), (old, old_rate))
         ]
-        test.update(Pair(*counts[0], *counts[1]), elapsed=STEP)
+        test.update(PairedCounts(*counts[0], *counts[1]), elapsed=STEP)
         highest = max(highest, test.weight)
         if test.weight >= 8 and reached is None:
             reached = step
