--- a/libs/moves/src/verbenamill_moves/__init__.py
+++ b/libs/moves/src/verbenamill_moves/__init__.py
@@ -9,7 +9,7 @@
 )
 from verbenamill_moves.decider import Decider
 from verbenamill_moves.decider_selection import choose_decider, is_report_due
-from verbenamill_moves.decision_input import (
+from verbenamill_moves.decision_context import (
     THRESHOLDS_BY_PROFILE,
     DecisionThresholds,
 )
--- a/libs/moves/src/verbenamill_moves/actions.py
+++ b/libs/moves/src/verbenamill_moves/actions.py
@@ -1,4 +1,4 @@
-"""What a decider asks its daemon to do."""
+"""Actions that a decider asks its daemon to carry out."""
 
 from datetime import datetime
 
@@ -10,14 +10,14 @@
 
 
 class PublishState(Struct, frozen=True, kw_only=True):
-    """Tell the other daemons a move's new state."""
+    """Publish the new state of a move to the other daemons."""
 
     move: Offset
     state: MoveState
 
 
 class AppendVerdict(Struct, frozen=True, kw_only=True):
-    """Append a verdict; given again until it is in force."""
+    """Append a verdict to the log; repeated until the verdict is in force."""
 
     record: VerdictRecord
 
@@ -30,7 +30,7 @@
 
 
 class WriteAuditLine(Struct, frozen=True, kw_only=True):
-    """A step and its cause, for the audit trail."""
+    """Record a step of a move and its reason in the audit trail."""
 
     at: datetime
     move: Offset
--- a/libs/moves/src/verbenamill_moves/decider.py
+++ b/libs/moves/src/verbenamill_moves/decider.py
@@ -1,4 +1,4 @@
-"""Decisions on the running moves: stages, vetoes and verdicts."""
+"""Decisions on running moves: stages, vetoes and verdicts."""
 
 from collections.abc import Iterator, Mapping
 from datetime import datetime, timedelta
@@ -28,9 +28,9 @@
     owns_upstream_of,
     rendezvous_weight,
 )
-from verbenamill_moves.decision_input import (
+from verbenamill_moves.decision_context import (
     THRESHOLDS_BY_PROFILE,
-    DecisionInput,
+    DecisionContext,
     DecisionThresholds,
     is_ready,
 )
@@ -41,42 +41,46 @@
 from verbenamill_moves.state import MoveState, join_states
 from verbenamill_moves.vetoes import find_veto
 
-#: A decider that did not step for so long was paused,
-_PAUSE = timedelta(seconds=3)
-#: and takes so long to hear from the owners again.
-_SETTLE_IN = timedelta(milliseconds=1500)
-#: Between two tries to append a verdict.
-_REPEAT = timedelta(seconds=2)
-#: Part of the time from the last call to the deadline by which each further
-#: availability zone waits with the verdict.
-_STAGGER = 0.25
-#: Zones that are told this one's sums at each step.
-_RELAYS_A_STEP = 3
+#: A decider whose last step is longer ago than this was paused.
+_PAUSE_THRESHOLD = timedelta(seconds=3)
+#: Time after its start or a pause in which a decider waits for the reports
+#: of the owners.
+_REPORT_CATCH_UP = timedelta(milliseconds=1500)
+#: Interval between two attempts to append a verdict.
+_APPEND_RETRY_INTERVAL = timedelta(seconds=2)
+#: Fraction of the time between ``verdict_by`` of the plan and the deadline by
+#: which each further availability zone delays its verdict.
+_VERDICT_STAGGER = 0.25
+#: Most availability zones that are sent the sums of this one at each step.
+_MAX_RELAYS_PER_STEP = 3
 
 
 class _Progress(Struct, kw_only=True):
-    """What one decider remembers of a move.
+    """State that one decider keeps about a move.
 
-    :param listening_since: evidence is complete from a little after it.
+    :param listening_since: start of the current listening period; evidence
+        is complete once the owners have reported after it.
+    :param first_ready: when an upstream of the new version was first ready.
     :param stage: stage at the last step.
-    :param stage_began_with: calls of the new version when it began.
-    :param relays: steps at which other zones were told sums.
+    :param calls_before_stage: calls of the new version when that stage began.
+    :param verdict_due: when the next attempt to append the verdict is due.
+    :param relay_steps: steps at which sums were sent to other zones.
     """
 
-    tally: MoveEvidence
+    evidence: MoveEvidence
     listening_since: datetime
     first_ready: datetime | None = None
     stage: int = 0
-    stage_began_with: int = 0
-    settled_at: datetime | None = None
-    relays: int = 0
+    calls_before_stage: int = 0
+    verdict_due: datetime | None = None
+    relay_steps: int = 0
 
 
 class Decider:
-    """Acts for the moves that it is chosen for in its availability zone.
+    """Decides on the moves for which it is chosen in its availability zone.
 
-    :param vm: the daemon it runs in.
-    :param thresholds: how doubt is resolved, by the profile of a move.
+    :param vm: the daemon that this decider runs in.
+    :param thresholds: limits for the decisions, by the profile of a move.
     """
 
     def __init__(
@@ -90,23 +94,24 @@
     ) -> None:
         self._vm = vm
         self._zone = availability_zone
-        self._cautions = thresholds
+        self._thresholds = thresholds
         self._members: Mapping[VmId, Member] = {}
         self._moves: dict[Offset, Move] = {}
         self._progress: dict[Offset, _Progress] = {}
         self._stepped_at: datetime | None = None
 
     def receive(self, sender: VmId, report: bytes) -> None:
-        """Take a report; unreadable ones are left out.
+        """Take in a report; unreadable reports are ignored.
 
-        From another availability zone only its decider is heard: two that
-        both hold themselves chosen would have the zone's calls count twice.
+        Reports of another availability zone are accepted only from the
+        decider of that zone. If two of its daemons each considered
+        themselves chosen, the calls of that zone would count twice.
         """
-        told = decode_report(report)
-        if told is None:
+        decoded = decode_report(report)
+        if decoded is None:
             return
-        for version in told.versions:
-            self._receive_on(version.service, sender, told)
+        for version in decoded.versions:
+            self._receive_for_service(version.service, sender, decoded)
 
     def step(
         self,
@@ -116,13 +121,13 @@
         members: Mapping[VmId, Member],
         now: datetime,
     ) -> tuple[Action, ...]:
-        """Decide on every running move; to be called a few times a second.
+        """Decide on every running move; called a few times per second.
 
-        :param states: what the mesh knows of the moves.
-        :param members: daemons that are alive, this one included.
-        :returns: what the daemon has to do, in this order.
+        :param states: states of the moves that the mesh knows.
+        :param members: live daemons, including this one.
+        :returns: actions that the daemon has to carry out in this order.
         """
-        self._follow(snapshot, members, now)
+        self._refresh(snapshot, members, now)
         actions: list[Action] = []
         for move in self._moves.values():
             if choose_decider(move, self._zone, self._members) != self._vm:
@@ -132,7 +137,7 @@
             actions.extend(self._decide(move, state, now))
         return tuple(actions)
 
-    def _receive_on(
+    def _receive_for_service(
         self,
         service: ServiceName,
         sender: VmId,
@@ -150,25 +155,26 @@
                 zone,
                 self._members,
             ):
-                tally = self._progress[move.id].tally
-                tally.receive(sender, zone, report)
+                evidence = self._progress[move.id].evidence
+                evidence.receive(sender, zone, report)
 
-    def _follow(
+    def _refresh(
         self,
         snapshot: Snapshot,
         members: Mapping[VmId, Member],
         now: datetime,
     ) -> None:
-        """Take in what changed since the last step."""
-        me = members.get(self._vm)
-        running = (known.move for known in snapshot.services.values())
+        """Update the moves, the members and the progress for this step."""
+        own = members.get(self._vm)
+        running = (service.move for service in snapshot.services.values())
         self._moves = {
             move.id: move
             for move in running
-            if move and me and owns_upstream_of(me, move.service)
+            if move and own and owns_upstream_of(own, move.service)
         }
         services = {move.service for move in self._moves.values()}
-        # A zone has many members and few of them own the moved service.
+        # A zone has many members, but only a few of them own an upstream of
+        # a service that moves.
         self._members = {
             vm: member
             for vm, member in members.items()
@@ -176,22 +182,22 @@
         }
         for move_id in set(self._progress).difference(self._moves):
             self._progress.pop(move_id)
-        paused = self._stepped_at and now - self._stepped_at > _PAUSE
+        paused = self._stepped_at and now - self._stepped_at > _PAUSE_THRESHOLD
         for progress in self._progress.values():
-            progress.tally.keep_owners(self._members)
+            progress.evidence.retain_owners(self._members)
             if paused:
-                # After a pause the clock says "next stage", while what the
-                # owners saw meanwhile is still on its way.
+                # After a pause the next stage may be due by the clock, while
+                # the reports about the paused time have not arrived yet.
                 progress.listening_since = now
         self._stepped_at = now
 
     def _progress_of(self, move: Move, now: datetime) -> _Progress:
         if move.id not in self._progress:
             self._progress[move.id] = _Progress(
-                tally=MoveEvidence(
+                evidence=MoveEvidence(
                     move,
                     availability_zone=self._zone,
-                    alpha=self._cautions[move.profile].alpha,
+                    alpha=self._thresholds[move.profile].alpha,
                     now=now,
                 ),
                 listening_since=now,
@@ -205,140 +211,155 @@
         now: datetime,
     ) -> Iterator[Action]:
         progress = self._progress_of(move, now)
-        progress.tally.advance(now)
-        view = self._look(move, state, progress, now)
-        step = self._next_state(view, progress)
-        if step is not None:
-            told, reason = step
-            state = join_states(state, told)
+        progress.evidence.judge_step(now)
+        context = self._make_context(move, state, progress, now)
+        change = self._find_change(context, progress)
+        if change is not None:
+            added, reason = change
+            state = join_states(state, added)
             yield PublishState(move=move.id, state=state)
             yield WriteAuditLine(
-                at=now, move=move.id, service=move.service, text=reason
+                at=now,
+                move=move.id,
+                service=move.service,
+                text=reason,
             )
-        yield from self._settle(view, state, progress)
-        yield from self._relay(view, progress)
+        yield from self._append_verdict(context, state, progress)
+        yield from self._send_sums(context, progress)
 
-    def _look(
+    def _make_context(
         self,
         move: Move,
         state: MoveState,
         progress: _Progress,
         now: datetime,
-    ) -> DecisionInput:
-        tally = progress.tally
+    ) -> DecisionContext:
+        evidence = progress.evidence
         if progress.first_ready is None and any(
             is_ready(member, move) for member in self._members.values()
         ):
             progress.first_ready = now
-        return DecisionInput(
+        return DecisionContext(
             move=move,
             availability_zone=self._zone,
             state=state,
             members=self._members,
             now=now,
             first_ready=progress.first_ready,
-            finding=tally.find(),
-            calls=tally.new_calls,
-            call_rate=tally.call_rate,
-            sheds=tally.sheds,
-            refuses=tally.refuses,
-            worsened=tally.worsened,
-            caution=self._cautions[move.profile],
+            finding=evidence.strongest_finding(),
+            calls=evidence.new_calls,
+            call_rate=evidence.call_rate,
+            sheds_more=evidence.sheds_more,
+            refuses_calls=evidence.refuses_calls,
+            fails_often=evidence.fails_often,
+            thresholds=self._thresholds[move.profile],
         )
 
-    def _next_state(
+    def _find_change(
         self,
-        view: DecisionInput,
+        context: DecisionContext,
         progress: _Progress,
     ) -> tuple[MoveState, str] | None:
-        """What to add to the move's state and why, if anything."""
-        if view.state.veto:
+        """Return what to add to the state of the move and why, if anything."""
+        if context.state.veto:
             return None
-        reason = find_veto(view)
+        reason = find_veto(context)
         if reason is not None:
-            told = MoveState(veto=True, reason=reason)
-            return told, f'veto: {reason}'
-        if view.stage != progress.stage:
-            progress.stage = view.stage
-            progress.stage_began_with = view.calls
-        if view.stage and view.now < progress.listening_since + _SETTLE_IN:
+            vetoed = MoveState(veto=True, reason=reason)
+            return vetoed, f'veto: {reason}'
+        if context.stage != progress.stage:
+            progress.stage = context.stage
+            progress.calls_before_stage = context.calls
+        if (
+            context.stage
+            and context.now < progress.listening_since + _REPORT_CATCH_UP
+        ):
             return None
-        stage_calls = view.calls - progress.stage_began_with
-        grown = find_stage_advance(view, stage_calls=stage_calls)
-        if grown is None:
+        stage_calls = context.calls - progress.calls_before_stage
+        advance = find_stage_advance(context, stage_calls=stage_calls)
+        if advance is None:
             return None
-        share = STAGES[grown.stage].share
-        text = f'share {share:.0%} in {self._zone}: {grown.reason}'
-        return MoveState(stages={self._zone: grown.stage}), text
+        share = STAGES[advance.stage].share
+        text = f'share {share:.0%} in {self._zone}: {advance.reason}'
+        return MoveState(stages={self._zone: advance.stage}), text
 
-    def _settle(
+    def _append_verdict(
         self,
-        view: DecisionInput,
+        context: DecisionContext,
         state: MoveState,
         progress: _Progress,
     ) -> Iterator[AppendVerdict]:
-        kind = _find_verdict(view, state)
+        kind = _find_verdict(context, state)
         if kind is None:
             return
-        if progress.settled_at is None:
-            # All zones come to the same verdict at about the same time; the
-            # later ones only write when the first could not.
-            left = view.move.deadline - view.plan.last_call
-            wait = left * _STAGGER * self._rank(view)
-            progress.settled_at = view.now + wait
-        if view.now < progress.settled_at:
+        if progress.verdict_due is None:
+            # All zones reach the same verdict at about the same time. The
+            # delay differs by zone, so that a further zone appends the
+            # verdict only if the zones before it could not.
+            remaining = context.move.deadline - context.plan.verdict_by
+            wait = remaining * _VERDICT_STAGGER * self._zone_rank(context)
+            progress.verdict_due = context.now + wait
+        if context.now < progress.verdict_due:
             return
-        progress.settled_at = view.now + _REPEAT
-        done = f'{view.calls} calls of {view.move.new} seen in {self._zone}'
+        progress.verdict_due = context.now + _APPEND_RETRY_INTERVAL
+        summary = (
+            f'{context.calls} calls of {context.move.new} counted in '
+            f'{self._zone}'
+        )
         yield AppendVerdict(
             record=VerdictRecord(
-                move=view.move.id,
-                service=view.move.service,
+                move=context.move.id,
+                service=context.move.service,
                 kind=kind,
                 decided_by=self._vm,
-                reason=state.reason or done,
+                reason=state.reason or summary,
             ),
         )
 
-    def _relay(
-        self, view: DecisionInput, progress: _Progress
+    def _send_sums(
+        self, context: DecisionContext, progress: _Progress
     ) -> Iterator[SendReport]:
-        """Tell the other zones what this one saw.
+        """Send the sums of this availability zone to the other zones.
 
-        A service with few calls shows a bad version soon enough only when
-        the calls of all zones are judged together.
+        For a service with few calls, a bad version is found soon enough only
+        if the calls of all zones are judged together.
         """
-        others = sorted(view.zones - {self._zone})
-        body = progress.tally.relay() if others else None
+        others = sorted(context.zones - {self._zone})
+        body = progress.evidence.encode_sums() if others else None
         if body is None:
             return
-        # With many zones, sums to all of them at each step would take this
-        # daemon over its bytes a second; they are cumulative, so a zone
-        # whose turn comes later misses nothing.
-        progress.relays += 1
-        first = progress.relays * _RELAYS_A_STEP % len(others)
-        for zone in (*others[first:], *others[:first])[:_RELAYS_A_STEP]:
-            to = choose_decider(view.move, zone, view.members)
-            if to is not None:
-                yield SendReport(recipient=to, body=body)
+        # With many zones, sending the sums to all of them at each step would
+        # exceed this daemon's bytes per second. The sums are cumulative, so
+        # a zone that receives them some steps later loses nothing.
+        progress.relay_steps += 1
+        first = progress.relay_steps * _MAX_RELAYS_PER_STEP % len(others)
+        for zone in (*others[first:], *others[:first])[:_MAX_RELAYS_PER_STEP]:
+            recipient = choose_decider(context.move, zone, context.members)
+            if recipient is not None:
+                yield SendReport(recipient=recipient, body=body)
 
-    def _rank(self, view: DecisionInput) -> int:
-        own = rendezvous_weight(view.move.id, self._zone)
+    def _zone_rank(self, context: DecisionContext) -> int:
+        """Count the zones that append the verdict before this one."""
+        own = rendezvous_weight(context.move.id, self._zone)
         return sum(
-            rendezvous_weight(view.move.id, zone) > own for zone in view.zones
+            rendezvous_weight(context.move.id, zone) > own
+            for zone in context.zones
         )
 
 
-def _find_verdict(view: DecisionInput, state: MoveState) -> VerdictKind | None:
+def _find_verdict(
+    context: DecisionContext, state: MoveState
+) -> VerdictKind | None:
     if state.veto:
         return VerdictKind.TAKEN_BACK
-    if state.stages.get(view.availability_zone, 0) < FULL_STAGE:
+    if state.stages.get(context.availability_zone, 0) < FULL_STAGE:
         return None
     complete = all(
-        state.stages.get(known, 0) >= FULL_STAGE for known in view.zones
+        state.stages.get(zone, 0) >= FULL_STAGE for zone in context.zones
     )
-    # A zone whose decider is slow must not make the verdict late; the
-    # verdict itself gives that zone's calls to the new version.
-    if complete or view.now >= view.plan.last_call:
+    # A zone with a slow decider must not delay the verdict beyond the
+    # deadline; the verdict itself gives the calls of that zone to the new
+    # version.
+    if complete or context.now >= context.plan.verdict_by:
         return VerdictKind.DONE
     return None
--- a/libs/moves/src/verbenamill_moves/decider_selection.py
+++ b/libs/moves/src/verbenamill_moves/decider_selection.py
@@ -1,7 +1,8 @@
-"""Which daemon decides for a move: rendezvous hashing, no election.
+"""Selection of the daemon that decides on a move, by rendezvous hashing.
 
-Only daemons that own an upstream of the service are candidates. A daemon
-then works on the moves of one service, however many run in the fleet.
+No election takes place. Only daemons that own an upstream of the service are
+candidates, so a daemon works on the moves of a single service, however many
+moves run in the fleet.
 """
 
 import hashlib
@@ -11,7 +12,7 @@
 from verbenamill_model.traffic import Member
 from verbenamill_model.typing import AvailabilityZone, Offset, ServiceName, VmId
 
-#: Owners of an availability zone that report in one period.
+#: Most owners of one availability zone that report in the same period.
 MAX_REPORTS_PER_PERIOD = 6
 
 
@@ -20,13 +21,14 @@
     availability_zone: AvailabilityZone,
     members: Mapping[VmId, Member],
 ) -> VmId | None:
-    """Daemon that decides for a move in an availability zone.
+    """Choose the daemon that decides on a move in an availability zone.
 
-    Daemons whose views of the members differ may choose two; the states
-    they publish merge, so that is wasteful but harmless.
+    Daemons whose views of the members differ may choose different deciders.
+    The states that these deciders publish merge, so the only cost is
+    duplicate work.
 
     :returns: ``None`` when no live member of the zone owns an upstream of
-        the service; such a zone follows the others.
+        the service; such a zone follows the other zones.
     """
     candidates = (
         member.id
@@ -35,12 +37,14 @@
         and owns_upstream_of(member, move.service)
     )
     return max(
-        candidates, key=lambda vm: rendezvous_weight(move.id, vm), default=None
+        candidates,
+        key=lambda vm: rendezvous_weight(move.id, vm),
+        default=None,
     )
 
 
 def owns_upstream_of(member: Member, service: ServiceName) -> bool:
-    """Whether a member's upstream is one of a service."""
+    """Return whether the upstream of a member belongs to a service."""
     return member.upstream is not None and member.upstream.service == service
 
 
@@ -51,27 +55,28 @@
     *,
     period: int,
 ) -> bool:
-    """Whether an owner sends its evidence in a period.
+    """Return whether an owner sends its evidence in a period.
 
-    The reports of all owners of a zone meet at one decider. Were each sent
-    in every period, a service with many upstreams would take that daemon
-    over its bytes a second; with so many the evidence gathers fast anyway,
-    and a report is cumulative, so waiting a turn loses nothing.
+    All owners of a zone report to the same decider. If a service has many
+    upstreams and each owner reported in every period, that daemon would
+    exceed its bytes per second. With so many owners the evidence accumulates
+    quickly anyway, and reports are cumulative, so a report that is sent some
+    periods later loses nothing.
 
     :param owners: daemons with an upstream of the service.
-    :param period: counts up by one.
+    :param period: number of the period; increases by one each time.
     """
-    mates = sorted(
+    zone_owners = sorted(
         name
         for name, member in owners.items()
         if member.availability_zone == availability_zone
     )
-    if vm not in mates:
+    if vm not in zone_owners:
         return False
-    turns = -(-len(mates) // MAX_REPORTS_PER_PERIOD)
-    return (mates.index(vm) + period) % turns == 0
+    cycle_length = -(-len(zone_owners) // MAX_REPORTS_PER_PERIOD)
+    return (zone_owners.index(vm) + period) % cycle_length == 0
 
 
 def rendezvous_weight(move: Offset, name: str) -> bytes:
-    """Weight of a name for a move; the highest one wins."""
+    """Return the weight of a name for a move; the highest weight is chosen."""
     return hashlib.blake2b(f'{move}/{name}'.encode(), digest_size=8).digest()
--- a/libs/moves/src/verbenamill_moves/decision_input.py
+++ b/libs/moves/src/verbenamill_moves/decision_context.py
@@ -1,4 +1,4 @@
-"""What a decision on one move is made from."""
+"""Input of the decisions on one move."""
 
 from collections.abc import Mapping
 from datetime import datetime
@@ -18,19 +18,20 @@
 from verbenamill_moves.stages import Plan, plan_move
 from verbenamill_moves.state import MoveState
 
-#: Evidence (logarithm) at which a version grows no further for a while.
-_SUSPICIOUS = 2.0
+#: Weight of the evidence (natural logarithm) above which the share of the
+#: new version stops growing for a while.
+_SUSPICIOUS_WEIGHT = 2.0
 
 
 class DecisionThresholds(Struct, frozen=True, kw_only=True):
-    """How doubt about a version is resolved.
+    """Limits that decide whether a version is vetoed or completed.
 
     :param alpha: probability of finding a good version bad, per move and
         availability zone.
-    :param doubtful: evidence (logarithm) from which a version is not
-        completed at its deadline.
-    :param calls_wanted: calls of the new version without which it is
-        doubtful as well.
+    :param max_weight_at_deadline: weight of the evidence (natural logarithm)
+        from which the move is not completed at its deadline.
+    :param min_calls: calls of the new version below which the move is not
+        completed at its deadline either.
     """
 
     alpha: float
@@ -38,7 +39,7 @@
     min_calls: int
 
 
-#: Doubt by profile; the figures behind them are in docs/design/moves.md.
+#: Thresholds by profile; docs/design/moves.md has the figures behind them.
 THRESHOLDS_BY_PROFILE: Mapping[Profile, DecisionThresholds] = {
     Profile.ON_TIME: DecisionThresholds(
         alpha=0.001, max_weight_at_deadline=7, min_calls=0
@@ -49,15 +50,16 @@
 }
 
 
-class DecisionInput(Struct, frozen=True, kw_only=True):
-    """One move as its decider sees it at one step.
+class DecisionContext(Struct, frozen=True, kw_only=True):
+    """State of one move at one step of its decider.
 
-    :param availability_zone: the decider's own.
+    :param availability_zone: zone of the decider.
     :param first_ready: when an upstream of the new version was first ready.
-    :param calls: calls of the new version, in all zones that are heard.
-    :param call_rate: calls a second of both versions.
-    :param sheds: whether the new version sheds more than the old one.
-    :param refuses: whether it sheds most of its calls.
+    :param calls: calls of the new version, in all zones that report here.
+    :param call_rate: calls per second of both versions.
+    :param sheds_more: whether the new version sheds more than the old one.
+    :param refuses_calls: whether the new version sheds most of its calls.
+    :param fails_often: whether many recent calls of the new version failed.
     """
 
     move: Move
@@ -69,10 +71,10 @@
     finding: Finding | None
     calls: int
     call_rate: float
-    sheds: bool
-    refuses: bool
-    worsened: bool
-    caution: DecisionThresholds
+    sheds_more: bool
+    refuses_calls: bool
+    fails_often: bool
+    thresholds: DecisionThresholds
 
     @property
     def zones(self) -> set[AvailabilityZone]:
@@ -94,25 +96,26 @@
 
     @property
     def suspicious(self) -> bool:
-        """Whether more calls might not do the new version good."""
+        """Whether the new version should not get more calls for now."""
         looks_bad = (
-            self.finding is not None and self.finding.weight > _SUSPICIOUS
+            self.finding is not None
+            and self.finding.weight > _SUSPICIOUS_WEIGHT
         )
-        return looks_bad or self.sheds
+        return looks_bad or self.sheds_more
 
     @property
     def stage(self) -> int:
-        """Stage of the decider's availability zone."""
+        """Stage in the availability zone of the decider."""
         return self.state.stages.get(self.availability_zone, 0)
 
     @property
     def plan(self) -> Plan:
-        """The stages in the time that is left."""
+        """Plan of the stages for the remaining time."""
         return plan_move(self.move, first_ready=self.first_ready or self.now)
 
 
 def is_ready(member: Member, move: Move) -> bool:
-    """Whether a member's upstream can take calls of the new version."""
+    """Return whether a member has a ready upstream of the new version."""
     upstream = member.upstream
     return (
         upstream is not None
--- a/libs/moves/src/verbenamill_moves/evidence.py
+++ b/libs/moves/src/verbenamill_moves/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence of one owner: what the calls to its upstream came to."""
+"""Evidence of one owner: outcomes of the calls to its upstream."""
 
 from datetime import timedelta
 
@@ -10,20 +10,23 @@
 from verbenamill_moves.histogram import Histogram, bucket_of
 from verbenamill_runtime import Clock
 
-#: Routes of one version that are told apart; the others count together.
+#: Routes of one version that are counted separately; all further routes are
+#: counted together.
 MAX_ROUTES = 16
-#: Name under which the other routes count.
+#: Route name under which the further routes are counted.
 OTHER_ROUTES = RouteName('*')
-#: Versions an owner keeps; its upstream is replaced, not its daemon.
+#: Versions whose counts an owner keeps; the daemon outlives its upstreams.
 _MAX_VERSIONS = 4
-#: Calls to a fresh upstream whose latency says nothing about the version.
+#: First calls of a new upstream; their latencies are those of a cold start
+#: and say nothing about the version.
 COLD_CALLS = 8
 
 
 class RouteCounts(Struct, array_like=True):
-    """Counts of one version on one route since the owner's start.
+    """Counts of one version on one route since the start of the owner.
 
-    :param latencies: of the answered calls that were not cold starts.
+    :param latencies: latencies of the successful calls, without those of the
+        cold start.
     """
 
     route: RouteName
@@ -34,7 +37,7 @@
 
 
 class VersionCounts(Struct, array_like=True):
-    """Counts of one version of a service since the owner's start."""
+    """Counts of one version of a service since the start of the owner."""
 
     service: ServiceName
     version: VersionName
@@ -42,17 +45,17 @@
 
     @property
     def answered(self) -> int:
-        """Calls on all routes."""
+        """Answered calls on all routes."""
         return sum(counts.answered for counts in self.routes)
 
 
 class Report(Struct, array_like=True):
     """Cumulative evidence of one owner.
 
-    A lost report costs nothing, since the next one holds its counts too.
+    The loss of a report has no effect, as the next one includes its counts.
 
-    :param incarnation: distinguishes a restarted owner, whose counts begin
-        at zero again.
+    :param incarnation: identifies one run of the owner; after a restart the
+        counts begin at zero again.
     :param sequence: number of the report within the incarnation, from 1.
     """
 
@@ -65,7 +68,7 @@
 
 
 def decode_report(body: bytes) -> Report | None:
-    """Decode a report; ``None`` when it cannot be read."""
+    """Decode a report; return ``None`` if it is unreadable."""
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError:
@@ -78,10 +81,12 @@
 
 
 class EvidenceCollector:
-    """Counts what an owner sees; bounded in versions, routes and buckets.
+    """Counts the calls of an owner within bounded memory.
 
-    :param incarnation: of the owner; differs at each start of the daemon.
-    :param clock: tells which calls began before the upstream was warm.
+    The numbers of versions, routes and latency buckets are limited.
+
+    :param incarnation: run of the owner; differs at each start of the daemon.
+    :param clock: determines which calls began before the upstream was warm.
     """
 
     def __init__(self, *, incarnation: int, clock: Clock) -> None:
@@ -92,14 +97,15 @@
         self._versions: list[VersionCounts] = []
 
     def observe(self, observation: Observation) -> None:
-        """Count one call that ended.
+        """Count one call that has ended.
 
-        Calls that their caller cancelled say nothing about the version.
+        Calls that were cancelled by their caller are ignored, as they say
+        nothing about the version.
         """
         if observation.outcome is Outcome.CANCELLED:
             return
-        version = self._version_of(observation)
-        counts = _counts_of(version.routes, observation.route)
+        version = self._counts_of_version(observation)
+        counts = _counts_of_route(version.routes, observation.route)
         if observation.outcome is Outcome.SHED:
             counts.shed += 1
             return
@@ -112,7 +118,7 @@
             counts.latencies[bucket] = counts.latencies.get(bucket, 0) + 1
 
     def report(self) -> bytes | None:
-        """Encode all counts for the decider; ``None`` before any call."""
+        """Encode all counts for the decider; ``None`` before the first call."""
         if not self._versions:
             return None
         self._sequence += 1
@@ -125,33 +131,33 @@
         )
 
     def _is_warm(self, version: VersionCounts, latency: timedelta) -> bool:
-        """Whether a call that ends now began on a warm upstream.
+        """Return whether a call that ends now began on a warm upstream.
 
-        Slow calls of a cold start end after fast ones that began later, so
-        the number of calls that ended is not enough to tell.
+        The number of calls that have ended does not suffice: slow calls of a
+        cold start end after fast calls that began later.
         """
         if version.answered <= COLD_CALLS:
             return False
         now = self._clock.monotonic()
-        place = (version.service, version.version)
-        return now - latency >= self._warm_since.setdefault(place, now)
+        key = (version.service, version.version)
+        return now - latency >= self._warm_since.setdefault(key, now)
 
-    def _version_of(self, observation: Observation) -> VersionCounts:
+    def _counts_of_version(self, observation: Observation) -> VersionCounts:
         for counts in self._versions:
             if (
                 counts.service == observation.service
                 and counts.version == observation.version
             ):
                 return counts
-        fresh = VersionCounts(observation.service, observation.version, [])
-        self._versions = [*self._versions, fresh][-_MAX_VERSIONS:]
+        added = VersionCounts(observation.service, observation.version, [])
+        self._versions = [*self._versions, added][-_MAX_VERSIONS:]
         kept = {(known.service, known.version) for known in self._versions}
-        for place in set(self._warm_since).difference(kept):
-            self._warm_since.pop(place)
-        return fresh
+        for dropped in set(self._warm_since).difference(kept):
+            self._warm_since.pop(dropped)
+        return added
 
 
-def _counts_of(routes: list[RouteCounts], name: RouteName) -> RouteCounts:
+def _counts_of_route(routes: list[RouteCounts], name: RouteName) -> RouteCounts:
     known = _find_route(routes, name)
     if known is not None:
         return known
--- a/libs/moves/src/verbenamill_moves/likelihood.py
+++ b/libs/moves/src/verbenamill_moves/likelihood.py
@@ -56,7 +56,7 @@
     old: float = 0
     old_bad: float = 0
 
-    def plus(self, other: 'Pair') -> 'Pair':
+    def plus(self, other: 'PairedCounts') -> 'PairedCounts':
         """Sum of two pairs."""
         return PairedCounts(
             self.new + other.new,
@@ -65,7 +65,7 @@
             self.old_bad + other.old_bad,
         )
 
-    def scaled(self, factor: float) -> 'Pair':
+    def scaled(self, factor: float) -> 'PairedCounts':
         """All counts times a factor."""
         return PairedCounts(
             self.new * factor,
--- a/libs/moves/src/verbenamill_moves/move_evidence.py
+++ b/libs/moves/src/verbenamill_moves/move_evidence.py
@@ -109,7 +109,7 @@
         return self._call_rate
 
     @property
-    def worsened(self) -> bool:
+    def fails_often(self) -> bool:
         """Whether lately more calls of the new version go bad than usual.
 
         It may be a fault of both versions that the old one, with few calls,
@@ -123,7 +123,7 @@
         )
 
     @property
-    def sheds(self) -> bool:
+    def sheds_more(self) -> bool:
         """Whether the new version lately sheds more load than the old one.
 
         That is no failure, but more calls would only be shed as well.
@@ -132,7 +132,7 @@
         return new - self._shed[self._move.old].share > _SHEDS
 
     @property
-    def refuses(self) -> bool:
+    def refuses_calls(self) -> bool:
         """Whether the new version sheds most calls lately, or ever did all.
 
         With few calls the lately shed ones fade between two of them; that
@@ -179,7 +179,7 @@
                     ),
                 )
 
-    def advance(self, now: datetime) -> None:
+    def judge_step(self, now: datetime) -> None:
         """Judge what came in since the last step."""
         self._measure_rate(now)
         for received in self._received:
@@ -190,14 +190,14 @@
                 self._count(received)
         self._received.clear()
         for tally in self._routes.values():
-            tally.advance(self._zone, now)
+            tally.judge_step(self._zone, now)
 
-    def keep_owners(self, owners: Collection[VmId]) -> None:
+    def retain_owners(self, owners: Collection[VmId]) -> None:
         """Forget owners that are gone, so that memory is bounded."""
         for owner in set(self._reports).difference(owners):
             self._reports.pop(owner)
 
-    def relay(self) -> bytes | None:
+    def encode_sums(self) -> bytes | None:
         """Report of this zone's sums for the deciders of other zones."""
         if not self._sums:
             return None
@@ -216,7 +216,7 @@
             ),
         )
 
-    def find(self) -> Finding | None:
+    def strongest_finding(self) -> Finding | None:
         """The strongest evidence against the new version, if any."""
         tests = len(self._routes) * len(Fault) * len(Scope)
         needed = log(tests / self._alpha)
@@ -250,7 +250,7 @@
     def _find_broken(self, now: datetime) -> set[VmId | None]:
         """Instances of the new version whose calls are to be left out."""
         for instances in self._instances.values():
-            instances.forget()
+            instances.decay()
         limit = self._routes[_TOTAL].slow_beyond
         totals: dict[VmId, RouteCounts] = {}
         for received in self._received:
--- a/libs/moves/src/verbenamill_moves/route_evidence.py
+++ b/libs/moves/src/verbenamill_moves/route_evidence.py
@@ -180,7 +180,7 @@
         """Bucket beyond which calls are slow, once it is known."""
         return self._slow_beyond
 
-    def advance(self, own: AvailabilityZone, now: datetime) -> None:
+    def judge_step(self, own: AvailabilityZone, now: datetime) -> None:
         """Judge what came in since the last step."""
         for (fault, scope), trial in self._trials.items():
             pairs = [
--- a/libs/moves/src/verbenamill_moves/stages.py
+++ b/libs/moves/src/verbenamill_moves/stages.py
@@ -1,4 +1,4 @@
-"""Stages of a move and when each may and must begin."""
+"""Stages of a move and the times at which they may and must begin."""
 
 from datetime import datetime, timedelta
 
@@ -8,11 +8,12 @@
 
 
 class Stage(Struct, frozen=True, kw_only=True):
-    """One step of a move.
+    """One stage of a move.
 
     :param share: share of the calls that the new version gets, 0 to 1.
-    :param earliest: fraction of the plan at which it may begin.
-    :param latest: fraction at which it begins without enough evidence.
+    :param earliest: fraction of the plan from which the stage may begin.
+    :param latest: fraction of the plan at which the stage begins even without
+        enough evidence.
     """
 
     share: float
@@ -20,9 +21,9 @@
     latest: float
 
 
-#: The old version keeps a small share until the verdict: without answers of
-#: both versions from the same seconds, a fault that hits both would look
-#: like a fault of the new one.
+#: The old version keeps a small share until the verdict. Without answers of
+#: both versions from the same seconds, a fault that affects both would look
+#: like a fault of the new version.
 STAGES = (
     Stage(share=0, earliest=0, latest=0),
     Stage(share=0.01, earliest=0, latest=0),
@@ -37,41 +38,43 @@
 HOLD_STAGE = len(STAGES) - 2
 FULL_STAGE = len(STAGES) - 1
 
-#: Time before the deadline for the verdict to get on the log and in force,
-#: as a part of the window and at most.
-_MARGIN = 0.15
-_MAX_MARGIN = timedelta(seconds=5)
+#: Time reserved before the deadline to append the verdict to the log and put
+#: it in force: a fraction of the window between acceptance and deadline, and
+#: its upper bound.
+_VERDICT_MARGIN = 0.15
+_MAX_VERDICT_MARGIN = timedelta(seconds=5)
 
 
 class Plan(Struct, frozen=True, kw_only=True):
-    """Times of a move's stages.
+    """Times of the stages of a move.
 
     :param start: when the new version can take its first call.
-    :param settle: when all traffic has to be on it; a little before the
-        deadline, so that the verdict is in force in time.
-    :param last_call: when the verdict waits for slow zones no longer.
+    :param full_traffic_by: when the new version has to get all traffic; a
+        little before the deadline, so that the verdict is in force in time.
+    :param verdict_by: when the verdict no longer waits for slow zones.
     """
 
     start: datetime
-    settle: datetime
-    last_call: datetime
+    full_traffic_by: datetime
+    verdict_by: datetime
 
     def time_of(self, fraction: float) -> datetime:
-        """Moment at a fraction of the plan."""
-        length = max(self.settle - self.start, timedelta(0))
+        """Return the time at a fraction of the plan."""
+        length = max(self.full_traffic_by - self.start, timedelta(0))
         return self.start + length * fraction
 
 
 def plan_move(move: Move, *, first_ready: datetime) -> Plan:
-    """Plan the stages in the time that is left.
+    """Plan the stages of a move within the remaining time.
 
     :param first_ready: when an upstream of the new version was first seen
-        ready; a late one gets a shorter plan, not a later deadline.
+        ready; a late upstream shortens the plan and does not postpone the
+        deadline.
     """
     window = move.deadline - move.accepted_at
-    margin = min(window * _MARGIN, _MAX_MARGIN)
+    margin = min(window * _VERDICT_MARGIN, _MAX_VERDICT_MARGIN)
     return Plan(
         start=max(move.accepted_at, first_ready),
-        settle=move.deadline - margin,
-        last_call=move.deadline - margin / 2,
+        full_traffic_by=move.deadline - margin,
+        verdict_by=move.deadline - margin / 2,
     )
--- a/libs/moves/src/verbenamill_moves/state.py
+++ b/libs/moves/src/verbenamill_moves/state.py
@@ -1,4 +1,4 @@
-"""What the daemons tell each other about a running move."""
+"""State of a running move that the daemons exchange."""
 
 from collections.abc import Mapping
 
@@ -7,19 +7,19 @@
 
 from verbenamill_model.typing import AvailabilityZone, Offset
 
-#: Topic of the mesh that carries move states, keyed by :func:`move_key`.
+#: Topic of the mesh for move states, which are keyed by :func:`move_key`.
 MOVES_TOPIC = 'moves'
-#: Kind of mesh message that carries an owner's evidence to a decider.
+#: Kind of the mesh messages that carry the evidence of an owner to a decider.
 REPORT_KIND = 'evidence'
 
 
 class MoveState(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """State of one move; two of them always merge to the same third.
+    """State of one move; merging is independent of the order of the states.
 
     :param stages: highest stage that each availability zone permits.
-    :param veto: the version is bad and gets no traffic anywhere; wins over
-        every stage and is never lifted.
-    :param reason: evidence behind the veto, in a sentence.
+    :param veto: whether the version is bad and gets no traffic anywhere; a
+        veto overrides every stage and is never lifted.
+    :param reason: description of the evidence behind the veto.
     """
 
     stages: dict[AvailabilityZone, int] = {}
@@ -31,19 +31,19 @@
 
 
 def move_key(move: Offset) -> str:
-    """Key of a move on the topic."""
+    """Return the key of a move on the topic."""
     return str(move)
 
 
 def encode_move_state(state: MoveState) -> bytes:
-    """Encode a state for the topic; equal states have equal bytes."""
+    """Encode a state for the topic; equal states give equal bytes."""
     return msgspec.msgpack.encode(state, order='deterministic')
 
 
 def decode_move_states(entries: Mapping[str, bytes]) -> dict[Offset, MoveState]:
-    """Decode the entries of the topic; unreadable ones are left out.
+    """Decode the entries of the topic, except for unreadable ones.
 
-    A move whose state is left out gives the new version no traffic.
+    While the state of a move is missing, its new version gets no traffic.
     """
     states = {}
     for key, body in entries.items():
@@ -54,16 +54,16 @@
 
 
 def merge_states(old: bytes | None, new: bytes) -> bytes:
-    """Merge two encoded states; order and repetition make no difference."""
+    """Merge two encoded states, regardless of order and repetition."""
     known = None if old is None else _decode(old)
-    told = _decode(new)
+    added = _decode(new)
     return encode_move_state(
-        join_states(known or MoveState(), told or MoveState())
+        join_states(known or MoveState(), added or MoveState()),
     )
 
 
 def join_states(one: MoveState, other: MoveState) -> MoveState:
-    """Merge two states: the higher stage per zone, and either one's veto."""
+    """Merge two states: the higher stage of each zone, and any veto."""
     zones = {*one.stages, *other.stages}
     reasons = {one.reason, other.reason} - {''}
     return MoveState(
@@ -72,7 +72,7 @@
             for zone in zones
         },
         veto=one.veto or other.veto,
-        # Any rule that ignores the order will do.
+        # Any rule that does not depend on the order is suitable.
         reason=min(reasons, default=''),
     )
 
@@ -81,6 +81,6 @@
     try:
         return _decoder.decode(body)
     except msgspec.MsgspecError:
-        # A peer of a later release may write what this one cannot read; a
-        # crash here would take the daemon down with each exchange.
+        # A peer of a later release may use a format that this release cannot
+        # read; an exception here would stop the daemon at each exchange.
         return None
--- a/libs/moves/src/verbenamill_moves/traffic_split.py
+++ b/libs/moves/src/verbenamill_moves/traffic_split.py
@@ -1,4 +1,4 @@
-"""Share of a service's calls that each version gets."""
+"""Split of the calls of a service between its versions."""
 
 from datetime import datetime
 
@@ -18,12 +18,13 @@
 ) -> Shares:
     """Split the calls of a service between its versions.
 
-    A daemon that has heard nothing of the move gives the new version
-    nothing. An availability zone without a stage of its own has no upstream
-    of the service; it follows the zone that is furthest behind.
+    While a daemon knows no state of the move, it sends no calls to the new
+    version. An availability zone without a stage of its own has no upstream
+    of the service, so it uses the lowest stage of the other zones.
 
-    :param state: what the mesh knows of the service's move, if anything.
-    :param now: not before the move's acceptance when a share is given.
+    :param state: state of the move of the service, if the mesh knows one.
+    :param now: before the acceptance of the move, the new version gets no
+        calls.
     :returns: shares that add up to 1.
     """
     move = service.move
@@ -38,5 +39,5 @@
 
 
 def _stage_in(state: MoveState, availability_zone: AvailabilityZone) -> int:
-    behind = min(state.stages.values(), default=0)
-    return min(state.stages.get(availability_zone, behind), FULL_STAGE)
+    lowest = min(state.stages.values(), default=0)
+    return min(state.stages.get(availability_zone, lowest), FULL_STAGE)
--- a/libs/moves/src/verbenamill_moves/vetoes.py
+++ b/libs/moves/src/verbenamill_moves/vetoes.py
@@ -1,67 +1,79 @@
-"""When a version is bad, or too doubtful to be completed."""
+"""Decides when a version is vetoed."""
 
 from verbenamill_model.checks import MIN_MOVE
 from verbenamill_model.typing import Profile
-from verbenamill_moves.decision_input import DecisionInput
+from verbenamill_moves.decision_context import DecisionContext
 from verbenamill_moves.stages import CANARY_STAGE, FULL_STAGE
 
 
-def find_veto(view: DecisionInput) -> str | None:
-    """Why the new version is to get no traffic, or ``None``."""
-    finding = view.finding
+def find_veto(context: DecisionContext) -> str | None:
+    """Return why the new version must get no traffic, or ``None``."""
+    finding = context.finding
     if finding is not None and finding.conclusive:
         return finding.describe()
-    move = view.move
-    begun = max(view.state.stages.values(), default=0)
-    if view.now >= move.deadline and not begun:
+    move = context.move
+    highest_stage = max(context.state.stages.values(), default=0)
+    if context.now >= move.deadline and not highest_stage:
         return f'no upstream of {move.new} was ready before the deadline'
-    if view.now >= view.plan.settle and 0 < begun < FULL_STAGE:
-        return _find_doubt(view) or _find_lateness(view, begun)
+    if (
+        context.now >= context.plan.full_traffic_by
+        and 0 < highest_stage < FULL_STAGE
+    ):
+        return _find_objection(context) or _find_late_start(
+            context, highest_stage
+        )
     return None
 
 
-def _find_doubt(view: DecisionInput) -> str | None:
-    """Why a move is not to be completed at its deadline, or ``None``."""
-    finding = view.finding
+def _find_objection(context: DecisionContext) -> str | None:
+    """Return why a move must not be completed at its deadline, or ``None``."""
+    finding = context.finding
     if (
         finding is not None
-        and finding.weight >= view.caution.max_weight_at_deadline
+        and finding.weight >= context.thresholds.max_weight_at_deadline
     ):
-        return f'doubt at the deadline: {finding.describe()}'
-    if view.refuses:
-        # A version whose port is closed fails no call and answers none.
-        # Completed for want of evidence, it would refuse all of them.
-        return f'{view.move.new} refuses most of its calls at the deadline'
-    if view.move.profile is Profile.CAUTIOUS and view.sheds:
-        return f'{view.move.new} sheds load at the deadline'
-    if view.move.profile is Profile.CAUTIOUS and view.worsened:
-        return f'calls of {view.move.new} fail at the deadline'
-    return _find_few_calls(view)
+        return f'inconclusive at the deadline: {finding.describe()}'
+    if context.refuses_calls:
+        # If the port of a version is closed, its calls neither fail nor get
+        # an answer. Completed for lack of evidence, the version would refuse
+        # all calls.
+        return f'{context.move.new} refuses most of its calls at the deadline'
+    if context.move.profile is Profile.CAUTIOUS and context.sheds_more:
+        return f'{context.move.new} sheds load at the deadline'
+    if context.move.profile is Profile.CAUTIOUS and context.fails_often:
+        return f'calls of {context.move.new} fail at the deadline'
+    return _find_missing_calls(context)
 
 
-def _find_few_calls(view: DecisionInput) -> str | None:
-    wanted = view.caution.min_calls
-    if view.calls < wanted:
+def _find_missing_calls(context: DecisionContext) -> str | None:
+    expected = context.thresholds.min_calls
+    if context.calls < expected:
         return (
-            f'doubt at the deadline: {view.calls} calls of {view.move.new}, '
-            f'expected {wanted}'
+            f'inconclusive at the deadline: {context.calls} calls of '
+            f'{context.move.new}, expected {expected}'
         )
     return None
 
 
-def _find_lateness(view: DecisionInput, begun: int) -> str | None:
-    """Why a version that came late is not to get all calls at once.
+def _find_late_start(
+    context: DecisionContext, highest_stage: int
+) -> str | None:
+    """Return why a version that was ready late must not be completed.
 
-    Its canary was too short to tell anything; the symptom of going on would
-    be a bad version with all of the traffic.
+    Its canary stage was too short to show anything, so completing the move
+    could give all traffic to a bad version.
     """
-    move = view.move
-    latest = move.deadline - MIN_MOVE
-    first_ready = view.first_ready
-    if begun > CANARY_STAGE or first_ready is None or first_ready <= latest:
+    move = context.move
+    latest_start = move.deadline - MIN_MOVE
+    first_ready = context.first_ready
+    if (
+        highest_stage > CANARY_STAGE
+        or first_ready is None
+        or first_ready <= latest_start
+    ):
         return None
-    left = (move.deadline - first_ready).total_seconds()
+    remaining = (move.deadline - first_ready).total_seconds()
     return (
-        f'{move.new} was ready only {left:.1f} s before the deadline, '
+        f'{move.new} was ready only {remaining:.1f} s before the deadline, '
         f'expected {MIN_MOVE.total_seconds():.0f}'
     )
