--- a/libs/moves/src/verbenamill_moves/move_evidence.py
+++ b/libs/moves/src/verbenamill_moves/move_evidence.py
@@ -1,4 +1,4 @@
-"""What a decider knows of one move: evidence of the owners, by zone."""
+"""Evidence of all owners on one move, as its decider collects it."""
 
 from collections import defaultdict
 from collections.abc import Collection
@@ -29,41 +29,42 @@
     Finding,
     RouteEvidence,
     Scope,
-    add_counts,
+    add_route_counts,
 )
 
-#: Routes judged on their own; calls on others count in the total.
-_MAX_ROUTES = 2 * MAX_ROUTES
-_TOTAL = RouteName('')
+#: Most routes that are judged separately; further routes are judged together.
+_MAX_SEPARATE_ROUTES = 2 * MAX_ROUTES
+#: Name under which the calls on all routes are judged.
+_ALL_ROUTES = RouteName('')
 
-#: Share and number of failed calls that leave a version in doubt.
-_WORSE = 0.1
-_WORSE_CALLS = 3
-#: Shed calls, older ones counted in part, from which the new version may be
-#: said to refuse its calls.
-_REFUSES = 1
-#: Share of shed calls, above the old version's, that holds a move back, and
-#: calls that steady it.
-_SHEDS = 0.15
-_SHED_CALLS = 10
-#: What is left of the measured call rate and of shed calls after a second.
-_RATE_MEMORY = 0.9
+#: Share and number of failed calls from which a version fails often.
+_FAILING_SHARE = 0.1
+_MIN_FAILED_CALLS = 3
+#: Shed calls, with decayed weight, from which the new version may count as
+#: refusing its calls.
+_MIN_REFUSED_CALLS = 1
+#: Share of shed calls, above that of the old version, that holds back a move.
+_MAX_ADDED_SHED_SHARE = 0.15
+#: Assumed calls without shedding that stabilise the share of few calls.
+_SHED_PRIOR_CALLS = 10
+#: Factor by which the call rate and the shed calls decay per second.
+_DECAY_PER_SECOND = 0.9
 
 
-class _Shed(Struct):
-    """Calls and shed ones of one version, older ones counted in part."""
+class _ShedCounts(Struct):
+    """Calls and shed calls of one version, decayed by their age."""
 
     calls: float = 0
     shed: float = 0
 
     @property
     def share(self) -> float:
-        """Share of the calls that were shed."""
-        return self.shed / (self.calls + _SHED_CALLS)
+        """Estimated share of the calls that were shed."""
+        return self.shed / (self.calls + _SHED_PRIOR_CALLS)
 
 
-class _Received(Struct, kw_only=True):
-    """What one report added on one route."""
+class _ReceivedCounts(Struct, kw_only=True):
+    """Counts that one report added on one route."""
 
     sender: VmId
     zone: AvailabilityZone
@@ -74,8 +75,8 @@
 class MoveEvidence:
     """Evidence on one move from the reports of its owners.
 
-    :param alpha: probability of finding a good version bad, over all
-        routes and for as long as the move takes.
+    :param alpha: probability of finding a good version bad, over all routes
+        and the whole duration of the move.
     """
 
     def __init__(
@@ -89,63 +90,72 @@
         self._move = move
         self._zone = availability_zone
         self._alpha = alpha
-        self._began_at = now
-        self._length = (move.deadline - move.accepted_at).total_seconds()
-        self._reports: dict[VmId, Report] = {}
-        self._routes = {_TOTAL: self._make_route()}
-        self._instances = {fault: InstanceFaults() for fault in Fault}
-        self._received: list[_Received] = []
+        self._started_at = now
+        self._duration = (move.deadline - move.accepted_at).total_seconds()
+        self._last_reports: dict[VmId, Report] = {}
+        self._routes = {_ALL_ROUTES: self._make_evidence()}
+        self._instance_faults = {fault: InstanceFaults() for fault in Fault}
+        self._received: list[_ReceivedCounts] = []
         self._sums: dict[tuple[VersionName, RouteName], RouteCounts] = {}
         self._sequence = 0
         self._new_calls = 0
-        self._new_sheds = 0
+        self._new_shed_calls = 0
         self._call_rate = float(0)
         self._advanced_at = now
-        self._shed = {version: _Shed() for version in (move.new, move.old)}
+        self._shed_counts = {
+            version: _ShedCounts() for version in (move.new, move.old)
+        }
 
     @property
     def call_rate(self) -> float:
-        """Calls a second of both versions, lately and in all zones."""
+        """Recent calls per second of both versions in all zones."""
         return self._call_rate
 
     @property
     def fails_often(self) -> bool:
-        """Whether lately more calls of the new version go bad than usual.
+        """Whether many recent calls of the new version failed.
 
-        It may be a fault of both versions that the old one, with few calls,
-        has not shown yet.
+        The cause may be a fault of both versions that does not show on the
+        old one yet, because it gets few calls.
         """
         return any(
-            trial.shown.new_bad >= _WORSE_CALLS
-            and trial.shown.new_bad > _WORSE * trial.shown.new
-            for fault, _, trial in self._routes[_TOTAL].iterate_tests()
+            delayed_test.recent.new_bad >= _MIN_FAILED_CALLS
+            and delayed_test.recent.new_bad
+            > _FAILING_SHARE * delayed_test.recent.new
+            for fault, _, delayed_test in self._routes[
+                _ALL_ROUTES
+            ].delayed_tests()
             if fault is Fault.FAILURES
         )
 
     @property
     def sheds_more(self) -> bool:
-        """Whether the new version lately sheds more load than the old one.
+        """Whether the new version recently shed more load than the old one.
 
-        That is no failure, but more calls would only be shed as well.
+        Shedding is not a failure, but further calls would be shed as well.
         """
-        new = self._shed[self._move.new].share
-        return new - self._shed[self._move.old].share > _SHEDS
+        new = self._shed_counts[self._move.new].share
+        return (
+            new - self._shed_counts[self._move.old].share
+            > _MAX_ADDED_SHED_SHARE
+        )
 
     @property
     def refuses_calls(self) -> bool:
-        """Whether the new version sheds most calls lately, or ever did all.
+        """Whether the new version shed most recent calls, or all calls.
 
-        With few calls the lately shed ones fade between two of them; that
-        nothing was ever answered does not.
+        If calls are rare, the count of recent shed calls decays between two
+        of them, so a version that has never answered a call is recognised by
+        its total counts.
         """
-        new = self._shed[self._move.new]
-        if not self._new_calls and self._new_sheds:
+        new = self._shed_counts[self._move.new]
+        if not self._new_calls and self._new_shed_calls:
             return True
-        return new.shed >= _REFUSES and new.shed > new.calls / 2
+        return new.shed >= _MIN_REFUSED_CALLS and new.shed > new.calls / 2
 
     @property
     def new_calls(self) -> int:
-        """Calls of the new version, in all zones that are heard."""
+        """Calls of the new version in all zones that report here."""
         return self._new_calls
 
     def receive(
@@ -154,60 +164,65 @@
         zone: AvailabilityZone,
         report: Report,
     ) -> None:
-        """Count what a report says beyond the sender's last one."""
-        before = self._reports.get(sender)
-        same = before and before.incarnation == report.incarnation
-        if before and same and report.sequence <= before.sequence:
+        """Count the calls that a report adds to the last one of its sender."""
+        previous = self._last_reports.get(sender)
+        same_run = previous and previous.incarnation == report.incarnation
+        if previous and same_run and report.sequence <= previous.sequence:
             return
-        self._reports[sender] = report
-        if before is None and report.sequence > 1:
-            # Counts from before this decider listened belong to other
-            # steps; they would compare this minute with last week.
+        self._last_reports[sender] = report
+        if previous is None and report.sequence > 1:
+            # The counts before the first received report belong to earlier
+            # steps, possibly days ago, and must not be compared with the
+            # current calls of the other version.
             self._new_calls += _count_answered(report, self._move)
             return
         for version in (self._move.new, self._move.old):
-            known = _routes_of(before if same else None, self._move, version)
-            told = _routes_of(report, self._move, version)
-            for route, counts in told.items():
-                grown = _subtract(counts, known.get(route))
-                self._add(
-                    _Received(
+            known = _routes_of(
+                previous if same_run else None, self._move, version
+            )
+            reported = _routes_of(report, self._move, version)
+            for route, counts in reported.items():
+                new_counts = _subtract(counts, known.get(route))
+                self._add_received(
+                    _ReceivedCounts(
                         sender=sender,
                         zone=zone,
                         version=version,
-                        counts=grown,
+                        counts=new_counts,
                     ),
                 )
 
     def judge_step(self, now: datetime) -> None:
-        """Judge what came in since the last step."""
-        self._measure_rate(now)
+        """Judge the calls that were reported since the last step."""
+        self._update_rates(now)
         for received in self._received:
-            _add_shed(self._shed[received.version], received.counts)
-        broken = self._find_broken(now)
+            _add_shed_counts(
+                self._shed_counts[received.version], received.counts
+            )
+        broken = self._find_broken_instances(now)
         for received in self._received:
             if received.sender not in broken:
-                self._count(received)
+                self._count_received(received)
         self._received.clear()
-        for tally in self._routes.values():
-            tally.judge_step(self._zone, now)
+        for evidence in self._routes.values():
+            evidence.judge_step(self._zone, now)
 
     def retain_owners(self, owners: Collection[VmId]) -> None:
-        """Forget owners that are gone, so that memory is bounded."""
-        for owner in set(self._reports).difference(owners):
-            self._reports.pop(owner)
+        """Drop the reports of absent owners, which bounds the memory."""
+        for owner in set(self._last_reports).difference(owners):
+            self._last_reports.pop(owner)
 
     def encode_sums(self) -> bytes | None:
-        """Report of this zone's sums for the deciders of other zones."""
+        """Encode the sums of this zone for the deciders of other zones."""
         if not self._sums:
             return None
         self._sequence += 1
         routes: dict[VersionName, list[RouteCounts]] = defaultdict(list)
-        for place, sums in self._sums.items():
-            routes[place[0]].append(sums)
+        for key, sums in self._sums.items():
+            routes[key[0]].append(sums)
         return encode_report(
             Report(
-                incarnation=int(self._began_at.timestamp() * 1000),
+                incarnation=int(self._started_at.timestamp() * 1000),
                 sequence=self._sequence,
                 versions=[
                     VersionCounts(self._move.service, version, counts)
@@ -217,7 +232,7 @@
         )
 
     def strongest_finding(self) -> Finding | None:
-        """The strongest evidence against the new version, if any."""
+        """Return the strongest evidence against the new version, if any."""
         tests = len(self._routes) * len(Fault) * len(Scope)
         needed = log(tests / self._alpha)
         findings = (
@@ -225,37 +240,37 @@
                 fault=fault,
                 route=route,
                 scope=scope.value,
-                weight=trial.test.weight,
+                weight=delayed_test.test.weight,
                 needed=needed,
-                pair=trial.shown,
+                counts=delayed_test.recent,
             )
-            for route, tally in self._routes.items()
-            for fault, scope, trial in tally.iterate_tests()
+            for route, evidence in self._routes.items()
+            for fault, scope, delayed_test in evidence.delayed_tests()
         )
-        return max(findings, key=lambda found: found.weight, default=None)
+        return max(findings, key=lambda finding: finding.weight, default=None)
 
-    def _measure_rate(self, now: datetime) -> None:
+    def _update_rates(self, now: datetime) -> None:
         elapsed = (now - self._advanced_at).total_seconds()
         self._advanced_at = now
         if elapsed <= 0:
             return
         calls = sum(received.counts.answered for received in self._received)
-        kept = _RATE_MEMORY**elapsed
-        for shed in self._shed.values():
-            shed.calls *= kept
-            shed.shed *= kept
-        self._call_rate *= kept
-        self._call_rate += (1 - kept) * calls / elapsed
-
-    def _find_broken(self, now: datetime) -> set[VmId | None]:
-        """Instances of the new version whose calls are to be left out."""
-        for instances in self._instances.values():
-            instances.decay()
-        limit = self._routes[_TOTAL].slow_beyond
+        decay = _DECAY_PER_SECOND**elapsed
+        for shed in self._shed_counts.values():
+            shed.calls *= decay
+            shed.shed *= decay
+        self._call_rate *= decay
+        self._call_rate += (1 - decay) * calls / elapsed
+
+    def _find_broken_instances(self, now: datetime) -> set[VmId | None]:
+        """Return the instances of the new version whose calls are left out."""
+        for faults in self._instance_faults.values():
+            faults.decay()
+        limit = self._routes[_ALL_ROUTES].slow_beyond
         totals: dict[VmId, RouteCounts] = {}
         for received in self._received:
             if received.version == self._move.new:
-                empty = RouteCounts(_TOTAL)
+                empty = RouteCounts(_ALL_ROUTES)
                 total = totals.setdefault(received.sender, empty)
                 _add_sums(total, received.counts)
         for sender, counts in totals.items():
@@ -263,42 +278,47 @@
             if limit is not None:
                 slow = count_slower(counts.latencies, limit)
             bad = {Fault.FAILURES: counts.failed, Fault.SLOWNESS: slow}
-            for fault, instances in self._instances.items():
-                instances.add(sender, counts.answered, bad[fault], now=now)
-        return {known.find_broken(now) for known in self._instances.values()}
+            for fault, faults in self._instance_faults.items():
+                faults.add(sender, counts.answered, bad[fault], now=now)
+        return {
+            known.find_broken(now) for known in self._instance_faults.values()
+        }
 
-    def _count(self, received: _Received) -> None:
+    def _count_received(self, received: _ReceivedCounts) -> None:
         is_new = received.version == self._move.new
         counts = received.counts
-        for tally in (self._routes[_TOTAL], self._tally_of(counts.route)):
-            step = tally.steps[received.zone]
-            add_counts(step.new if is_new else step.old, counts)
-
-    def _add(self, received: _Received) -> None:
+        for evidence in (
+            self._routes[_ALL_ROUTES],
+            self._evidence_on(counts.route),
+        ):
+            step = evidence.steps[received.zone]
+            add_route_counts(step.new if is_new else step.old, counts)
+
+    def _add_received(self, received: _ReceivedCounts) -> None:
         counts = received.counts
         if not counts.answered and not counts.shed:
             return
         if received.version == self._move.new:
             self._new_calls += counts.answered
-            self._new_sheds += counts.shed
+            self._new_shed_calls += counts.shed
         self._received.append(received)
         if received.zone == self._zone:
-            place = (received.version, counts.route)
+            key = (received.version, counts.route)
             empty = RouteCounts(counts.route)
-            _add_sums(self._sums.setdefault(place, empty), counts)
+            _add_sums(self._sums.setdefault(key, empty), counts)
 
-    def _tally_of(self, route: RouteName) -> RouteEvidence:
+    def _evidence_on(self, route: RouteName) -> RouteEvidence:
         if route not in self._routes:
-            if len(self._routes) > _MAX_ROUTES:
+            if len(self._routes) > _MAX_SEPARATE_ROUTES:
                 route = OTHER_ROUTES
-            self._routes.setdefault(route, self._make_route())
+            self._routes.setdefault(route, self._make_evidence())
         return self._routes[route]
 
-    def _make_route(self) -> RouteEvidence:
-        return RouteEvidence(length=self._length, now=self._began_at)
+    def _make_evidence(self) -> RouteEvidence:
+        return RouteEvidence(duration=self._duration, now=self._started_at)
 
 
-def _add_shed(total: _Shed, counts: RouteCounts) -> None:
+def _add_shed_counts(total: _ShedCounts, counts: RouteCounts) -> None:
     total.calls += counts.answered + counts.shed
     total.shed += counts.shed
 
@@ -319,9 +339,9 @@
         return {}
     return {
         counts.route: counts
-        for known in report.versions
-        if known.service == move.service and known.version == version
-        for counts in known.routes
+        for reported in report.versions
+        if reported.service == move.service and reported.version == version
+        for counts in reported.routes
     }
 
 
@@ -330,17 +350,17 @@
     return sum(counts.answered for counts in routes.values())
 
 
-def _subtract(counts: RouteCounts, before: RouteCounts | None) -> RouteCounts:
-    if before is None:
+def _subtract(counts: RouteCounts, previous: RouteCounts | None) -> RouteCounts:
+    if previous is None:
         return counts
     return RouteCounts(
         counts.route,
-        counts.answered - before.answered,
-        counts.failed - before.failed,
-        counts.shed - before.shed,
+        counts.answered - previous.answered,
+        counts.failed - previous.failed,
+        counts.shed - previous.shed,
         {
-            bucket: calls - before.latencies.get(bucket, 0)
+            bucket: calls - previous.latencies.get(bucket, 0)
             for bucket, calls in counts.latencies.items()
-            if calls > before.latencies.get(bucket, 0)
+            if calls > previous.latencies.get(bucket, 0)
         },
     )
--- a/libs/moves/src/verbenamill_moves/route_evidence.py
+++ b/libs/moves/src/verbenamill_moves/route_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence on one route: every fault, in the own zone and in all."""
+"""Evidence on one route, for each fault, in the own zone and all zones."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator
@@ -20,21 +20,22 @@
 )
 from verbenamill_moves.likelihood import LikelihoodTest, PairedCounts
 
-#: A call is slow beyond this quantile of the old version's earlier calls
-#: times this factor; at least so many calls have to be known.
+#: A call is slow if its latency exceeds this quantile of the earlier calls of
+#: the old version times the factor. The limit is known once there are enough
+#: such calls; beyond the larger number, the older calls lose weight.
 _SLOW_QUANTILE = 0.9
 _SLOW_FACTOR = 1.5
-_SLOW_HISTORY = 20
-_SLOW_MEMORY = 2000
-#: What is left of a step's calls after the next in what findings show.
-_SHOWN_MEMORY = 0.8
-#: Old calls of each zone that allow weighting by zone.
-_ZONE_CALLS = 5
+_MIN_SLOW_LIMIT_CALLS = 20
+_MAX_SLOW_LIMIT_CALLS = 2000
+#: Factor by which the calls shown in findings decay at each step.
+_RECENT_DECAY = 0.8
+#: Calls of the old version that a zone needs for weighting by zone.
+_MIN_ZONE_CALLS = 5
 
 
 @unique
 class Fault(str, Enum):
-    """What is wrong with a version."""
+    """Kinds of faults of a version."""
 
     FAILURES = 'failures'
     SLOWNESS = 'slowness'
@@ -42,31 +43,31 @@
 
 @unique
 class Scope(str, Enum):
-    """Zones whose calls a test looks at."""
+    """Zones whose calls a test judges."""
 
     OWN = 'own zone'
     ALL = 'all zones'
 
 
-class _Kind(Struct, frozen=True):
-    """Usual share of bad calls, and shares that a bad version adds."""
+class _FaultModel(Struct, frozen=True):
+    """Baseline floor of bad calls and the shares that a bad version adds."""
 
     floor: float
-    excesses: tuple[float, ...]
+    added_shares: tuple[float, ...]
 
 
-_KINDS = {
-    Fault.FAILURES: _Kind(0.005, (0.02, 0.07, 0.2, 0.5, 0.95)),
-    Fault.SLOWNESS: _Kind(0.02, (0.1, 0.25, 0.5, 0.9)),
+_FAULT_MODELS = {
+    Fault.FAILURES: _FaultModel(0.005, (0.02, 0.07, 0.2, 0.5, 0.95)),
+    Fault.SLOWNESS: _FaultModel(0.02, (0.1, 0.25, 0.5, 0.9)),
 }
 
 
 class Finding(Struct, frozen=True, kw_only=True):
     """The strongest evidence against a version.
 
-    :param weight: natural logarithm of the evidence.
+    :param weight: natural logarithm of the likelihood ratio.
     :param needed: weight from which the version is bad.
-    :param pair: calls of the last seconds, older ones counted in part.
+    :param counts: calls of the last seconds, decayed by their age.
     """
 
     fault: Fault
@@ -74,171 +75,173 @@
     scope: str
     weight: float
     needed: float
-    pair: PairedCounts
+    counts: PairedCounts
 
     @property
     def conclusive(self) -> bool:
-        """Whether the version is bad at the stated error rate."""
+        """Whether the version is bad, given the permitted error rate."""
         return self.weight >= self.needed
 
     def describe(self) -> str:
-        """Say it in a sentence, for the audit trail."""
+        """Describe the finding in a sentence for the audit trail."""
         where = f'route {self.route}' if self.route else 'all routes'
-        pair = self.pair
+        counts = self.counts
         return (
-            f'{self.fault.value} on {where}, {self.scope}: lately new '
-            f'{pair.new_bad:.0f} of {pair.new:.0f} calls, old '
-            f'{pair.old_bad:.0f} of {pair.old:.0f}; evidence '
+            f'{self.fault.value} on {where}, {self.scope}: recently new '
+            f'{counts.new_bad:.0f} of {counts.new:.0f} calls, old '
+            f'{counts.old_bad:.0f} of {counts.old:.0f}; evidence '
             f'e^{self.weight:.1f}, needed e^{self.needed:.1f}'
         )
 
 
-class _Side(Struct):
-    """Calls of one version in one zone and step."""
+class _VersionCalls(Struct):
+    """Calls of one version in one zone during one step."""
 
     calls: int = 0
     failed: int = 0
     latencies: Histogram = msgspec.field(default_factory=dict)
 
-    def pair_with(
-        self, old: '_Side', fault: Fault, slow: int | None
+    def pair_with_old(
+        self, old: '_VersionCalls', fault: Fault, slow_limit: int | None
     ) -> PairedCounts:
-        """Calls of both versions that say something about a fault."""
+        """Pair the calls of both versions that are relevant for a fault."""
         if fault is Fault.FAILURES:
             return PairedCounts(self.calls, self.failed, old.calls, old.failed)
-        if slow is None:
+        if slow_limit is None:
             return PairedCounts()
         return PairedCounts(
             count_calls(self.latencies),
-            count_slower(self.latencies, slow),
+            count_slower(self.latencies, slow_limit),
             count_calls(old.latencies),
-            count_slower(old.latencies, slow),
+            count_slower(old.latencies, slow_limit),
         )
 
 
-class _Step(Struct):
+class _ZoneStep(Struct):
     """Calls of both versions in one zone since the last step."""
 
-    new: _Side = msgspec.field(default_factory=_Side)
-    old: _Side = msgspec.field(default_factory=_Side)
+    new: _VersionCalls = msgspec.field(default_factory=_VersionCalls)
+    old: _VersionCalls = msgspec.field(default_factory=_VersionCalls)
 
 
 class DelayedTest:
-    """One test and the calls it is about to judge."""
+    """Sequential test that judges each step when the next one is known."""
 
     def __init__(self, test: LikelihoodTest, now: datetime) -> None:
         self.test = test
-        self.shown = PairedCounts()
-        self._before = PairedCounts()
+        self.recent = PairedCounts()
+        self._previous = PairedCounts()
         self._updated_at = now
 
-    def update(self, pair: PairedCounts, now: datetime) -> None:
-        """Judge the step before, now that its surroundings are known.
+    def update(self, counts: PairedCounts, now: datetime) -> None:
+        """Judge the previous step with the help of the current one.
 
-        Owners report at different moments, so one side of a fault of both
-        versions may show half a second before the other. Judging the new
-        version's calls against the old one's of the same step and the next
-        keeps such a fault from looking like one of the new version.
+        Owners report at different times, so a fault of both versions may show
+        on one of them half a second earlier than on the other. Comparing the
+        calls of the new version with those of the old version in the same and
+        the next step avoids attributing such a fault to the new version.
         """
         judged = PairedCounts(
-            self._before.new,
-            self._before.new_bad,
-            (self._before.old + pair.old) / 2,
-            (self._before.old_bad + pair.old_bad) / 2,
+            self._previous.new,
+            self._previous.new_bad,
+            (self._previous.old + counts.old) / 2,
+            (self._previous.old_bad + counts.old_bad) / 2,
         )
-        self._before = pair
+        self._previous = counts
         if not judged.new and not judged.old:
             return
         elapsed = (now - self._updated_at).total_seconds()
         self._updated_at = now
         self.test.update(judged, elapsed=elapsed)
-        self.shown = self.shown.scaled(_SHOWN_MEMORY).plus(judged)
+        self.recent = self.recent.scaled(_RECENT_DECAY).add(judged)
 
 
 class RouteEvidence:
-    """Evidence on one route, or on all together."""
+    """Evidence on one route, or on all routes together."""
 
-    def __init__(self, *, length: float, now: datetime) -> None:
-        self.steps: dict[AvailabilityZone, _Step] = defaultdict(_Step)
-        self._history: Histogram = {}
+    def __init__(self, *, duration: float, now: datetime) -> None:
+        self.steps: dict[AvailabilityZone, _ZoneStep] = defaultdict(_ZoneStep)
+        self._old_latencies: Histogram = {}
         self._slow_beyond: int | None = None
-        self._trials = {
+        self._delayed_tests = {
             (fault, scope): DelayedTest(
                 LikelihoodTest(
-                    floor=kind.floor,
-                    excesses=kind.excesses,
-                    length=length,
+                    floor=model.floor,
+                    added_shares=model.added_shares,
+                    duration=duration,
                 ),
                 now,
             )
-            for fault, kind in _KINDS.items()
+            for fault, model in _FAULT_MODELS.items()
             for scope in Scope
         }
 
     @property
     def slow_beyond(self) -> int | None:
-        """Bucket beyond which calls are slow, once it is known."""
+        """Bucket above which calls are slow, or ``None`` if not known yet."""
         return self._slow_beyond
 
-    def judge_step(self, own: AvailabilityZone, now: datetime) -> None:
-        """Judge what came in since the last step."""
-        for (fault, scope), trial in self._trials.items():
-            pairs = [
-                step.new.pair_with(step.old, fault, self._slow_beyond)
+    def judge_step(self, own_zone: AvailabilityZone, now: datetime) -> None:
+        """Judge the calls that were reported since the last step."""
+        for (fault, scope), delayed_test in self._delayed_tests.items():
+            zone_counts = [
+                step.new.pair_with_old(step.old, fault, self._slow_beyond)
                 for zone, step in self.steps.items()
-                if scope is Scope.ALL or zone == own
+                if scope is Scope.ALL or zone == own_zone
             ]
-            trial.update(_pool(pairs), now)
-        self._learn()
+            delayed_test.update(_pool_zones(zone_counts), now)
+        self._update_slow_limit()
         self.steps.clear()
 
-    def iterate_tests(self) -> Iterator[tuple[Fault, Scope, DelayedTest]]:
-        """Evidence so far."""
-        for (fault, scope), trial in self._trials.items():
-            yield fault, scope, trial
+    def delayed_tests(self) -> Iterator[tuple[Fault, Scope, DelayedTest]]:
+        """Iterate over the tests of all faults and scopes."""
+        for (fault, scope), delayed_test in self._delayed_tests.items():
+            yield fault, scope, delayed_test
 
-    def _learn(self) -> None:
-        """Take the next step's limit from the old version's past.
+    def _update_slow_limit(self) -> None:
+        """Set the limit of the next step from past calls of the old version.
 
-        The limit has to be known before the calls it judges; a limit taken
-        from the same calls would break the test's error rate.
+        The limit has to be set before the calls that it judges. A limit
+        derived from the same calls would invalidate the error rate of the
+        test.
         """
         for step in self.steps.values():
-            add_histogram(self._history, step.old.latencies)
-        calls = count_calls(self._history)
-        if calls > _SLOW_MEMORY:
-            self._history = {
-                bucket: calls // 2 for bucket, calls in self._history.items()
+            add_histogram(self._old_latencies, step.old.latencies)
+        calls = count_calls(self._old_latencies)
+        if calls > _MAX_SLOW_LIMIT_CALLS:
+            self._old_latencies = {
+                bucket: calls // 2
+                for bucket, calls in self._old_latencies.items()
             }
-        if calls >= _SLOW_HISTORY:
-            usual = quantile(self._history, _SLOW_QUANTILE)
-            self._slow_beyond = usual + buckets_for(_SLOW_FACTOR)
+        if calls >= _MIN_SLOW_LIMIT_CALLS:
+            baseline = quantile(self._old_latencies, _SLOW_QUANTILE)
+            self._slow_beyond = baseline + buckets_for(_SLOW_FACTOR)
 
 
-def _pool(pairs: Iterable[PairedCounts]) -> PairedCounts:
-    """Join the calls of several zones.
+def _pool_zones(zone_counts: Iterable[PairedCounts]) -> PairedCounts:
+    """Combine the calls of several zones.
 
-    A fault of both versions in one zone, when that zone's share of the new
-    version is higher, would show more with the new version. Weighting the
-    old version's rates by the new one's calls takes that away; with few
-    calls the difference is too small to matter.
+    If both versions have a fault in a zone where the share of the new version
+    is higher, the fault affects more calls of the new version. Weighting the
+    rates of the old version by the calls of the new one removes this bias.
+    With few calls the bias is too small to matter.
     """
     total = PairedCounts()
-    weighted = float(0)
-    fair = True
-    for pair in pairs:
-        total = total.plus(pair)
-        if pair.new and pair.old >= _ZONE_CALLS:
-            weighted += pair.new * pair.old_bad / pair.old
-        elif pair.new:
-            fair = False
-    if not fair or not total.new:
+    expected_bad = float(0)
+    comparable = True
+    for counts in zone_counts:
+        total = total.add(counts)
+        if counts.new and counts.old >= _MIN_ZONE_CALLS:
+            expected_bad += counts.new * counts.old_bad / counts.old
+        elif counts.new:
+            comparable = False
+    if not comparable or not total.new:
         return total
-    bad = total.old * weighted / total.new
+    bad = total.old * expected_bad / total.new
     return PairedCounts(total.new, total.new_bad, total.old, bad)
 
 
-def add_counts(side: _Side, counts: RouteCounts) -> None:
-    side.calls += counts.answered
-    side.failed += counts.failed
-    add_histogram(side.latencies, counts.latencies)
+def add_route_counts(version_calls: _VersionCalls, counts: RouteCounts) -> None:
+    version_calls.calls += counts.answered
+    version_calls.failed += counts.failed
+    add_histogram(version_calls.latencies, counts.latencies)
--- a/libs/moves/tests/test_likelihood.py
+++ b/libs/moves/tests/test_likelihood.py
@@ -10,7 +10,9 @@
 
 def judge(random, *, steps, new, old, new_rate, old_rate):
     """Highest weight over some steps, and the step that reached 8."""
-    test = LikelihoodTest(floor=0.005, excesses=EXCESSES, length=steps * STEP)
+    test = LikelihoodTest(
+        floor=0.005, added_shares=EXCESSES, duration=steps * STEP
+    )
     highest = 0
     reached = None
     for step in range(steps):
