--- a/libs/moves/src/verbenamill_moves/histogram.py
+++ b/libs/moves/src/verbenamill_moves/histogram.py
@@ -23,7 +23,7 @@
 
 
 def buckets_for(factor: float) -> int:
-    """Return by how many buckets a latency rises when multiplied."""
+    """Return the number of buckets by which a factor raises a latency."""
     return ceil(log2(factor) * _BUCKETS_PER_DOUBLING)
 
 
--- a/libs/moves/src/verbenamill_moves/likelihood.py
+++ b/libs/moves/src/verbenamill_moves/likelihood.py
@@ -83,8 +83,8 @@
 class LikelihoodTest:
     """Weighs the evidence against a new version.
 
-    :param floor: lowest baseline rate of bad calls; smaller differences do
-        not matter.
+    :param floor: lowest baseline rate of bad calls; lower rates are not
+        distinguished.
     :param added_shares: shares of the otherwise good calls that go bad with
         a bad version; each share gives one model of a bad version.
     :param duration: expected duration of the test in seconds.
@@ -99,7 +99,7 @@
     ) -> None:
         self._floor = floor
         self._added_shares = added_shares
-        self._failure_rate = 1 / max(duration, 1)
+        self._onset_rate = 1 / max(duration, 1)
         self._old_counts = PairedCounts()
         self._new_counts = [PairedCounts() for _ in _NEW_RATE_CALLS]
         self._shared_counts = PairedCounts()
@@ -131,7 +131,7 @@
             + _log_likelihood(counts.old, counts.old_bad, baseline)
             for rate in self._new_rates(baseline)
         ]
-        fault = self._shared_likelihood(counts, baseline)
+        fault = self._shared_log_likelihood(counts, baseline)
         self._apply_likelihoods(normal, fault)
         self._update_rates(counts)
 
@@ -154,7 +154,7 @@
         )
         return [*rates, *recent_rates]
 
-    def _shared_likelihood(
+    def _shared_log_likelihood(
         self, counts: PairedCounts, baseline: float
     ) -> float:
         """Return the log likelihood of the step if both versions are faulty.
@@ -211,12 +211,12 @@
         self, weights: list[float], elapsed: float
     ) -> list[float]:
         """Let a good version turn bad and a bad one recover."""
-        fails = 1 - exp(-elapsed * self._failure_rate)
+        onset = 1 - exp(-elapsed * self._onset_rate)
         recovers = 1 - exp(-elapsed * _RECOVERY_RATE)
         good, *bad = weights
-        each = good * fails / len(bad)
+        each = good * onset / len(bad)
         return [
-            good * (1 - fails) + sum(bad) * recovers,
+            good * (1 - onset) + sum(bad) * recovers,
             *(state * (1 - recovers) + each for state in bad),
         ]
 
--- a/libs/moves/src/verbenamill_moves/stage_advance.py
+++ b/libs/moves/src/verbenamill_moves/stage_advance.py
@@ -44,7 +44,9 @@
     if context.availability_zone not in ready:
         lowest = min(context.state.stages.get(zone, 0) for zone in ready)
         return (
-            StageAdvance(lowest, 'as other zones') if stage < lowest else None
+            StageAdvance(lowest, 'follows the other zones')
+            if stage < lowest
+            else None
         )
     if stage >= CANARY_STAGE and context.now >= context.plan.full_traffic_by:
         return StageAdvance(
