--- a/libs/moves/src/verbenamill_moves/likelihood.py
+++ b/libs/moves/src/verbenamill_moves/likelihood.py
@@ -49,7 +49,7 @@
 _CHANGE_PENALTY = 2.0
 #: Highest rate of bad calls that is assumed.
 _MAX_RATE = 0.98
-#: Lower bound of the probabilities, which keeps the logarithms finite.
+#: Probabilities below this bound count as 0; it keeps the logarithms finite.
 _MIN_PROBABILITY = 1e-290
 
 
--- a/libs/moves/tests/conftest.py
+++ b/libs/moves/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A service that moves in fake availability zones, on a fake clock."""
+"""Simulation of a move in several availability zones, with a fake clock."""
 
 from datetime import UTC, datetime, timedelta
 from random import Random
@@ -27,10 +27,13 @@
 
 
 class Fleet:
-    """Owners of both versions, deciders and their joined move state.
+    """Owners of both versions, their deciders and the merged move state.
 
-    :param fault: from version, zone and second to the probability that a
-        call fails.
+    ``failure_probability`` and ``median_latency`` map a version, a zone and a
+    second to the behaviour of the calls.
+
+    :param zones: availability zones, each with one owner of each version.
+    :param window: seconds from acceptance to the deadline.
     """
 
     def __init__(self, *, zones=('a',), window=60, profile=Profile.ON_TIME):
@@ -53,24 +56,26 @@
         self.members = {}
         for zone in zones:
             for version in ('v1', 'v2'):
-                self.add(f'{zone}-{version}', zone, version)
-        self.deciders = {vm: self.decider(vm) for vm in self.members}
+                self.add_member(f'{zone}-{version}', zone, version)
+        self.deciders = {vm: self.make_decider(vm) for vm in self.members}
         self.evidence = {
             vm: EvidenceCollector(incarnation=1, clock=self)
             for vm in self.members
         }
-        self.entry = None
-        self.settled = []
+        self.encoded_state = None
+        self.verdicts = []
         self.rate = 200
-        self.failing = lambda version, zone, second: 0
-        self.latency = lambda version, zone, second: 0.02
-        self.bad_route = None
-        self.shedding = 0
+        self.failure_probability = lambda version, zone, second: 0
+        self.median_latency = lambda version, zone, second: 0.02
+        self.failing_route = None
+        self.shed_probability = 0
         self._random = Random(5)
 
     @property
     def state(self):
-        entries = {} if self.entry is None else {'7': self.entry}
+        entries = (
+            {} if self.encoded_state is None else {'7': self.encoded_state}
+        )
         return decode_move_states(entries).get(7, MoveState())
 
     @property
@@ -80,7 +85,7 @@
     def monotonic(self):
         return self.now - START
 
-    def add(self, vm, zone, version, state=UpstreamState.READY):
+    def add_member(self, vm, zone, version, state=UpstreamState.READY):
         self.members[vm] = Member(
             id=vm,
             availability_zone=zone,
@@ -97,54 +102,59 @@
             ),
         )
 
-    def decider(self, vm):
+    def make_decider(self, vm):
         zone = self.members[vm].availability_zone
         return Decider(vm=vm, availability_zone=zone)
 
     def share(self, zone):
-        split = split_traffic(
+        shares = split_traffic(
             self.service,
             self.state,
             availability_zone=zone,
             now=self.now,
         )
-        return split.get('v2', 0)
+        return shares.get('v2', 0)
 
-    def remove(self, vm):
+    def remove_member(self, vm):
         for known in (self.members, self.deciders, self.evidence):
             known.pop(vm)
 
     def run(self, seconds, *, paused=()):
         for _ in range(int(seconds * 2)):
             self.now += STEP
-            self.call()
-            self.report()
+            self.make_calls()
+            self.send_reports()
             for vm, decider in self.deciders.items():
                 if vm not in paused:
-                    self.act(vm, decider)
+                    self.run_decider(vm, decider)
 
-    def call(self):
+    def make_calls(self):
         for member in self.members.values():
             version = member.upstream.version
             share = self.share(member.availability_zone)
-            part = share if version == 'v2' else 1 - share
-            calls = self.rate * STEP.total_seconds() * part
-            whole = int(calls + self._random.random())
-            for _ in range(whole):
+            version_share = share if version == 'v2' else 1 - share
+            calls = self.rate * STEP.total_seconds() * version_share
+            whole_calls = int(calls + self._random.random())
+            for _ in range(whole_calls):
                 self.evidence[member.id].observe(self.answer(member))
 
     def answer(self, member):
-        place = (
+        case = (
             member.upstream.version,
             member.availability_zone,
             self.second,
         )
         route = self._random.choice(('lookup', 'fees', 'maps', 'photos'))
-        spared = self.bad_route not in {None, route}
-        failed = not spared and self._random.random() < self.failing(*place)
-        latency = self.latency(*place) * self._random.lognormvariate(0, 0.5)
+        unaffected = self.failing_route not in {None, route}
+        failed = (
+            not unaffected
+            and self._random.random() < self.failure_probability(*case)
+        )
+        latency = self.median_latency(*case) * self._random.lognormvariate(
+            0, 0.5
+        )
         outcome = Outcome.FAILED if failed else Outcome.OK
-        if place[0] == 'v2' and self._random.random() < self.shedding:
+        if case[0] == 'v2' and self._random.random() < self.shed_probability:
             outcome = Outcome.SHED
         return Observation(
             service='entries',
@@ -154,7 +164,7 @@
             latency=timedelta(seconds=latency),
         )
 
-    def report(self):
+    def send_reports(self):
         for vm, evidence in self.evidence.items():
             body = evidence.report()
             if body is None:
@@ -163,23 +173,23 @@
             to = choose_decider(self.move, zone, self.members)
             self.deciders[to].receive(vm, body)
 
-    def act(self, vm, decider):
+    def run_decider(self, vm, decider):
         actions = decider.step(
             snapshot=Snapshot(services={'entries': self.service}),
-            states={7: self.state} if self.entry else {},
+            states={7: self.state} if self.encoded_state else {},
             members=self.members,
             now=self.now,
         )
         for action in actions:
             if isinstance(action, PublishState):
-                told = encode_move_state(action.state)
-                self.entry = merge_states(self.entry, told)
+                encoded = encode_move_state(action.state)
+                self.encoded_state = merge_states(self.encoded_state, encoded)
             elif isinstance(action, SendReport):
                 self.deciders[action.recipient].receive(vm, action.body)
             elif isinstance(action, AppendVerdict):
-                self.settled.append((self.second, action.record))
+                self.verdicts.append((self.second, action.record))
 
 
 @pytest.fixture
-def fleet():
+def make_fleet():
     return Fleet
--- a/libs/moves/tests/test_decider_selection.py
+++ b/libs/moves/tests/test_decider_selection.py
@@ -1,4 +1,4 @@
-"""Who decides, and who reports when."""
+"""Tests which daemon decides, and which owners report in which period."""
 
 from verbenamill_model.traffic import Member, Upstream
 from verbenamill_model.typing import UpstreamState
@@ -29,14 +29,14 @@
 
 
 def test_many_owners_take_turns_and_none_is_left_out():
-    """A service has 50 upstreams in a zone and moves.
+    """A service with 50 upstreams in one zone has a running move.
 
-    All reports meet at one decider; sent in each period they would take it
-    far over its bytes a second, and one that never came would hide a bad
-    upstream.
+    All owners report to the same decider. If each reported in every period,
+    the decider would far exceed its bytes per second; if an owner never
+    reported, a bad upstream could stay hidden.
     """
     owners = make_owners(50)
-    heard = []
+    reported = []
     for period in range(9):
         senders = [
             vm
@@ -44,8 +44,8 @@
             if is_report_due(vm, 'az-1', owners, period=period)
         ]
         assert len(senders) <= MAX_REPORTS_PER_PERIOD
-        heard.extend(senders)
-    assert sorted(heard) == sorted(owners)
+        reported.extend(senders)
+    assert sorted(reported) == sorted(owners)
 
 
 def test_few_owners_report_in_each_period():
@@ -54,32 +54,34 @@
     assert not is_report_due('vm-9', 'az-1', owners, period=3)
 
 
-def test_each_of_many_zones_hears_the_sums_in_turn(fleet):
-    """A service has upstreams in nine zones, as many decide.
+def test_sums_reach_each_of_many_zones_in_turn(make_fleet):
+    """A service has upstreams in nine zones, each with a decider.
 
-    Each tells only a few others at a step; a zone whose turn never came
-    would judge a rare version by its own few calls alone.
+    Each decider sends its sums to only a few zones at a step. A zone that
+    never received any would judge a version by its own few calls alone.
     """
-    moved = fleet(zones=tuple('abcdefghi'))
-    heard = {}
-    step = {vm: decider.step for vm, decider in moved.deciders.items()}
+    fleet = make_fleet(zones=tuple('abcdefghi'))
+    recipients = {}
+    original_step = {vm: decider.step for vm, decider in fleet.deciders.items()}
 
-    def spy(vm):
-        def listen(**known):
-            actions = step[vm](**known)
+    def record_recipients(vm):
+        def step_and_record(**arguments):
+            actions = original_step[vm](**arguments)
             sent = [
-                one.recipient for one in actions if isinstance(one, SendReport)
+                action.recipient
+                for action in actions
+                if isinstance(action, SendReport)
             ]
             assert len(sent) <= 3
-            heard.setdefault(vm, set()).update(to[0] for to in sent)
+            recipients.setdefault(vm, set()).update(vm_id[0] for vm_id in sent)
             return actions
 
-        return listen
+        return step_and_record
 
-    for vm, decider in moved.deciders.items():
-        decider.step = spy(vm)
-    moved.run(5)
-    chosen = {vm: zones for vm, zones in heard.items() if zones}
-    assert len(chosen) == 9
-    for vm, zones in chosen.items():
+    for vm, decider in fleet.deciders.items():
+        decider.step = record_recipients(vm)
+    fleet.run(5)
+    deciders = {vm: zones for vm, zones in recipients.items() if zones}
+    assert len(deciders) == 9
+    for vm, zones in deciders.items():
         assert zones == set('abcdefghi') - {vm[0]}
--- a/libs/moves/tests/test_evidence.py
+++ b/libs/moves/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""What an owner counts, and what a report may weigh."""
+"""Tests the counts of an owner and the size of its reports."""
 
 from datetime import timedelta
 
@@ -52,7 +52,7 @@
     return decode_report(evidence.report()).versions[0].routes
 
 
-def test_shed_and_cancelled_calls_are_no_failures(evidence):
+def test_shed_and_cancelled_calls_are_not_failures(evidence):
     observe(evidence, 3, outcome=Outcome.SHED)
     observe(evidence, 2, outcome=Outcome.CANCELLED)
     observe(evidence, 1, outcome=Outcome.FAILED)
@@ -61,10 +61,10 @@
 
 
 def test_latencies_of_a_cold_start_are_left_out(evidence, clock):
-    """A fresh upstream is slow at first, whatever its version.
+    """A new upstream is slow at first, whatever its version.
 
-    Slow calls of the cold start end after fast ones that began later, so
-    calls count only if they began after the first ones had ended.
+    Slow calls of the cold start end after fast calls that began later, so a
+    latency counts only if the call began after the first calls had ended.
     """
     observe(evidence, COLD_CALLS + 1)
     clock.time += FAST / 2
@@ -77,7 +77,7 @@
 
 
 def test_reports_are_cumulative(evidence):
-    """A report that is lost on the way costs no evidence."""
+    """The loss of a report loses no evidence."""
     observe(evidence, 3)
     assert evidence.report()
     observe(evidence, 4)
@@ -85,7 +85,7 @@
     assert counts.answered == 7
 
 
-def test_memory_is_bounded_whatever_callers_send(evidence):
+def test_memory_is_bounded_for_any_routes_and_versions(evidence):
     for number in range(3 * MAX_ROUTES):
         observe(evidence, 1, route=f'r{number}')
     for number in range(10):
@@ -95,10 +95,10 @@
     assert bucket_of(timedelta(hours=1)) == BUCKET_COUNT - 1
 
 
-def test_routes_beyond_the_bound_count_together(evidence):
+def test_routes_beyond_the_limit_are_counted_together(evidence):
     for number in range(MAX_ROUTES + 5):
         observe(evidence, 1, route=f'r{number}')
-    counts = {known.route: known.answered for known in routes_of(evidence)}
+    counts = {route.route: route.answered for route in routes_of(evidence)}
     assert len(counts) == MAX_ROUTES + 1
     assert counts[OTHER_ROUTES] == 5
 
@@ -111,5 +111,5 @@
     assert len(evidence.report()) <= 200
 
 
-def test_nothing_to_report_before_any_call(evidence):
+def test_no_report_before_the_first_call(evidence):
     assert evidence.report() is None
--- a/libs/moves/tests/test_likelihood.py
+++ b/libs/moves/tests/test_likelihood.py
@@ -1,4 +1,4 @@
-"""Error rate and power of the test that judges versions."""
+"""Tests the error rate and the power of the likelihood-ratio test."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 
 
 def judge(random, *, steps, new, old, new_rate, old_rate):
-    """Highest weight over some steps, and the step that reached 8."""
+    """Return the highest weight, and the first step with a weight of 8."""
     test = LikelihoodTest(
         floor=0.005, added_shares=EXCESSES, duration=steps * STEP
     )
@@ -27,11 +27,13 @@
     return highest, reached
 
 
-def test_good_versions_seldom_reach_the_limit():
-    """400 good versions at a usual rate of 1 %: the limit of e^4.6 is for
-    at most one in a hundred."""
+def test_good_versions_rarely_reach_the_limit():
+    """Of 400 good versions that fail 1 % of their calls, few are found bad.
+
+    At most one in a hundred may reach the limit of e^4.6.
+    """
     random = Random(1)
-    passed = [
+    highest_weights = [
         judge(
             random,
             steps=120,
@@ -42,12 +44,14 @@
         )[0]
         for _ in range(400)
     ]
-    assert sum(weight >= 4.6 for weight in passed) <= 4
+    assert sum(weight >= 4.6 for weight in highest_weights) <= 4
+
 
+def test_fault_of_both_versions_is_no_evidence():
+    """The store of the platform fails while the new version has most calls.
 
-def test_fault_of_both_versions_moves_nothing():
-    """The platform's store fails and both versions fail half their calls,
-    while the new one has most of the traffic."""
+    Both versions then fail half of their calls.
+    """
 
     def rate(step):
         return 0.5 if 40 <= step < 60 else 0.001
@@ -65,10 +69,12 @@
 
 
 def test_late_fault_is_found_as_soon_as_an_early_one():
-    """A version that was good for ten minutes fails from then on; all that
-    it did well before must not weigh against what it does now."""
+    """A version that was good for ten minutes fails from then on.
+
+    Its earlier successful calls must not outweigh the current failures.
+    """
 
-    def late(step):
+    def late_failures(step):
         return 0.3 if step >= 1200 else 0
 
     _, reached = judge(
@@ -76,7 +82,7 @@
         steps=1300,
         new=10,
         old=10,
-        new_rate=late,
+        new_rate=late_failures,
         old_rate=lambda step: 0,
     )
     assert 1200 <= reached <= 1206
--- a/libs/moves/tests/test_state.py
+++ b/libs/moves/tests/test_state.py
@@ -1,4 +1,4 @@
-"""Move states merge to the same whatever the order; shares obey them."""
+"""Tests that move states merge in any order, and how they split traffic."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -46,30 +46,30 @@
 
 @settings(derandomize=True)
 @given(STATES, STATES, STATES)
-def test_states_join(one, two, three):
-    """Messages come twice, crossed and late; all daemons must agree."""
+def test_merge_ignores_order_and_repetition(one, two, three):
+    """Messages arrive twice, reordered or late; all daemons must agree."""
     merged = merge_states(merge_states(one, two), three)
     assert merged == merge_states(merge_states(three, one), two)
     assert merged == merge_states(merged, two)
     assert merged == merge_states(merged, merged)
 
 
-def test_daemon_that_heard_nothing_sends_nothing_to_new_version():
+def test_new_version_gets_no_calls_while_its_state_is_unknown():
     assert share_of_new(None) == 0
     assert share_of_new(MoveState()) == 0
     early = START - timedelta(seconds=1)
     assert share_of_new(MoveState(stages={'a': 7}), now=early) == 0
 
 
-def test_veto_wins_over_every_stage():
+def test_veto_overrides_every_stage():
     assert share_of_new(MoveState(stages={'a': 7})) == 1
     assert share_of_new(MoveState(stages={'a': 7}, veto=True)) == 0
 
 
-def test_zone_without_upstreams_follows_the_last_zone():
+def test_zone_without_upstreams_follows_the_lowest_stage():
     assert share_of_new(MoveState(stages={'b': 7, 'c': 2}), zone='d') == 0.05
 
 
-def test_unreadable_state_of_a_peer_changes_nothing():
+def test_unreadable_state_of_a_peer_is_ignored():
     known = encode_move_state(MoveState(stages={'a': 2}, veto=True))
     assert merge_states(known, b'\xc1') == known
