--- a/libs/moves/src/verbenamill_moves/instance_faults.py
+++ b/libs/moves/src/verbenamill_moves/instance_faults.py
@@ -15,7 +15,7 @@
 #: Bad steps that are further apart than this belong to different faults.
 _FAULT_GAP = timedelta(seconds=1)
 #: Longest time for which a crashed instance fails calls; after that, its
-#: lease has expired and it no longer is a member.
+#: lease has expired and it is no longer a member.
 _MAX_CRASH_DURATION = timedelta(seconds=2)
 #: Bad calls per fault that always count; they are too few for a veto.
 _ALWAYS_COUNTED_CALLS = 2
--- a/libs/moves/src/verbenamill_moves/likelihood.py
+++ b/libs/moves/src/verbenamill_moves/likelihood.py
@@ -116,7 +116,7 @@
 
     @property
     def weight(self) -> float:
-        """Natural logarithm of the likelihood ratio; positive if bad."""
+        """Natural logarithm of the likelihood ratio; above 0 if bad."""
         return self._weight
 
     def update(self, counts: PairedCounts, *, elapsed: float) -> None:
