--- a/libs/moves/src/verbenamill_moves/decider.py
+++ b/libs/moves/src/verbenamill_moves/decider.py
@@ -303,8 +303,7 @@
             return
         progress.verdict_due = context.now + _APPEND_RETRY_INTERVAL
         summary = (
-            f'{context.calls} calls of {context.move.new} counted in '
-            f'{self._zone}'
+            f'{context.calls} calls of {context.move.new} seen in {self._zone}'
         )
         yield AppendVerdict(
             record=VerdictRecord(
--- a/libs/moves/src/verbenamill_moves/route_evidence.py
+++ b/libs/moves/src/verbenamill_moves/route_evidence.py
@@ -87,7 +87,7 @@
         where = f'route {self.route}' if self.route else 'all routes'
         counts = self.counts
         return (
-            f'{self.fault.value} on {where}, {self.scope}: recently new '
+            f'{self.fault.value} on {where}, {self.scope}: lately new '
             f'{counts.new_bad:.0f} of {counts.new:.0f} calls, old '
             f'{counts.old_bad:.0f} of {counts.old:.0f}; evidence '
             f'e^{self.weight:.1f}, needed e^{self.needed:.1f}'
--- a/libs/moves/src/verbenamill_moves/stage_advance.py
+++ b/libs/moves/src/verbenamill_moves/stage_advance.py
@@ -44,13 +44,11 @@
     if context.availability_zone not in ready:
         lowest = min(context.state.stages.get(zone, 0) for zone in ready)
         return (
-            StageAdvance(lowest, 'follows the other zones')
-            if stage < lowest
-            else None
+            StageAdvance(lowest, 'other zones lead') if stage < lowest else None
         )
     if stage >= CANARY_STAGE and context.now >= context.plan.full_traffic_by:
         return StageAdvance(
-            FULL_STAGE, f'as planned, after {context.calls} calls'
+            FULL_STAGE, f'the plan, after {context.calls} calls'
         )
     enough_calls = stage_calls >= _EARLY_ADVANCE_CALLS
     reason = _find_advance_reason(
@@ -71,7 +69,7 @@
     if context.now < plan.time_of(planned.earliest):
         return None
     if stage <= CANARY_STAGE:
-        return 'as planned'
+        return 'the plan'
     must_wait = _must_wait(context, plan, stage)
     if enough_calls and not context.suspicious and not must_wait:
         return f'{context.calls} calls without a finding'
--- a/libs/moves/src/verbenamill_moves/vetoes.py
+++ b/libs/moves/src/verbenamill_moves/vetoes.py
@@ -32,7 +32,7 @@
         finding is not None
         and finding.weight >= context.thresholds.max_weight_at_deadline
     ):
-        return f'inconclusive at the deadline: {finding.describe()}'
+        return f'doubt at the deadline: {finding.describe()}'
     if context.refuses_calls:
         # If the port of a version is closed, its calls neither fail nor get
         # an answer. Completed for lack of evidence, the version would refuse
@@ -49,7 +49,7 @@
     expected = context.thresholds.min_calls
     if context.calls < expected:
         return (
-            f'inconclusive at the deadline: {context.calls} calls of '
+            f'doubt at the deadline: {context.calls} calls of '
             f'{context.move.new}, expected {expected}'
         )
     return None
