--- a/libs/soak/src/verbenamill_soak/deadly.py
+++ b/libs/soak/src/verbenamill_soak/deadly_request.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from verbenamill_soak.nodes import Node
-from verbenamill_soak.site import Site
+from verbenamill_soak.cluster import Site
 
 #: Crashes after which the request has to be stopped, time until then in
 #: seconds, and runs that are allowed after that time.
--- a/libs/soak/src/verbenamill_soak/troubles.py
+++ b/libs/soak/src/verbenamill_soak/fault_injection.py
@@ -10,7 +10,7 @@
 from verbenamill_soak.nodes import GRACE, Node
 from verbenamill_soak.plan import Kind, Trouble
 from verbenamill_soak.relays import Way
-from verbenamill_soak.site import Site
+from verbenamill_soak.cluster import Site
 from verbenamill_soak.upstreams import DEADLY, DRAIN_TIME, LONG_WORK, WORK
 
 #: Moves of one run; more would leave no version that was not touched.
--- a/libs/soak/src/verbenamill_soak/promises.py
+++ b/libs/soak/src/verbenamill_soak/guarantees.py
@@ -13,11 +13,11 @@
 )
 from verbenamill_platform_standins.upstream import Execution
 from verbenamill_soak.callers import Asked, Caller, Ending
-from verbenamill_soak.deadly import MOST_LATE, DeadlyRuns
-from verbenamill_soak.given_up import Work
-from verbenamill_soak.in_band import InBandPromises
+from verbenamill_soak.deadly_request import MOST_LATE, DeadlyRuns
+from verbenamill_soak.abandoned import Work
+from verbenamill_soak.in_band_signals import InBandPromises
 from verbenamill_soak.nodes import Node
-from verbenamill_soak.site import KEPT, SERVICE, Site
+from verbenamill_soak.cluster import KEPT, SERVICE, Site
 from verbenamill_soak.upstreams import DEADLY, DRAIN_TIME, Upstream
 
 #: How often new records are looked at, in seconds.
--- a/libs/soak/src/verbenamill_soak/in_band.py
+++ b/libs/soak/src/verbenamill_soak/in_band_signals.py
@@ -7,7 +7,7 @@
 from verbenamill_platform_standins.upstream import Arrival
 from verbenamill_soak.callers import Asked, Ending
 from verbenamill_soak.nodes import Node
-from verbenamill_soak.site import Site
+from verbenamill_soak.cluster import Site
 from verbenamill_soak.upstreams import DRAIN_TIME, Upstream
 
 #: What an upstream may get beyond its limit: a factor and requests, in a span
--- a/libs/soak/src/verbenamill_soak/pipelining.py
+++ b/libs/soak/src/verbenamill_soak/pipelining.py
@@ -7,7 +7,7 @@
 import trio
 
 from verbenamill_platform_standins.callers import request_headers
-from verbenamill_soak.answers import Answer, Answers
+from verbenamill_soak.responses import Answer, Answers
 from verbenamill_soak.callers import (
     DEADLINE,
     HOST,
--- a/libs/soak/src/verbenamill_soak/run.py
+++ b/libs/soak/src/verbenamill_soak/run.py
@@ -11,11 +11,11 @@
 from verbenamill_soak.lag import Lag
 from verbenamill_soak.nodes import Node
 from verbenamill_soak.plan import draw_plan
-from verbenamill_soak.promises import Promises
+from verbenamill_soak.guarantees import Promises
 from verbenamill_soak.relays import Way
-from verbenamill_soak.site import Site
+from verbenamill_soak.cluster import Site
 from verbenamill_soak.timeline import Broken, Moment, Timeline
-from verbenamill_soak.troubles import Troubles
+from verbenamill_soak.fault_injection import Troubles
 
 #: After the last trouble is lifted, time until all is served again, in s.
 RECOVERY_LIMIT = 15.0
--- a/libs/soak/tests/test_promises.py
+++ b/libs/soak/tests/test_guarantees.py
@@ -15,9 +15,9 @@
 )
 from verbenamill_platform_standins.upstream import Arrival, Execution
 from verbenamill_soak.callers import DEADLINE, Asked, Ending
-from verbenamill_soak.promises import BACK_LIMIT, Promises
+from verbenamill_soak.guarantees import BACK_LIMIT, Promises
 from verbenamill_soak.relays import Switch, Way
-from verbenamill_soak.site import SERVICE, Order
+from verbenamill_soak.cluster import SERVICE, Order
 from verbenamill_soak.timeline import Timeline
 from verbenamill_soak.upstreams import DEADLY, DRAIN_TIME, Upstream
 
--- a/libs/soak/tests/test_pipelining.py
+++ b/libs/soak/tests/test_pipelining.py
@@ -9,7 +9,7 @@
 from verbenamill_soak.callers import Ending
 from verbenamill_soak.nodes import GRACE
 from verbenamill_soak.pipelining import PipeliningCaller
-from verbenamill_soak.site import Site
+from verbenamill_soak.cluster import Site
 from verbenamill_soak.timeline import Timeline
 
 #: Share of the answers of upstreams before which the next request was sent.
--- a/libs/soak/tests/test_stopped_reader.py
+++ b/libs/soak/tests/test_stopped_reader.py
@@ -8,7 +8,7 @@
 import trio
 
 from verbenamill_soak.callers import Caller
-from verbenamill_soak.site import START_LIMIT, Site
+from verbenamill_soak.cluster import START_LIMIT, Site
 from verbenamill_soak.timeline import Timeline
 
 #: More refused requests than lines fit into the pipe.
