--- a/libs/soak/src/verbenamill_soak/__init__.py
+++ b/libs/soak/src/verbenamill_soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak: real daemons as processes, faults from outside, promises checked."""
+"""Runs daemon processes under injected faults and checks their guarantees."""
--- a/libs/soak/src/verbenamill_soak/abandoned.py
+++ b/libs/soak/src/verbenamill_soak/abandoned.py
@@ -1,81 +1,85 @@
-"""Finds requests that were given up while an upstream was at work."""
+"""Finds requests that a daemon gave up while an upstream executed them."""
 
 from collections import defaultdict
 
 from msgspec import Struct
 
-from verbenamill_soak.callers import DEADLINE, Asked
+from verbenamill_soak.callers import DEADLINE_S, RequestRecord
 from verbenamill_soak.nodes import Node
 from verbenamill_soak.upstreams import Upstream
 
-#: Answers by which work is given up, and times left to the deadline, in
-#: seconds, above which they do that. The routes' own timeout is longer. At the
-#: deadline 502 is as good as 504: the owner says that there was no answer in
-#: time, some ms early at most, since its time is told in whole ms.
-_GIVING_UP = {502: 0.01, 504: 0.3}
-#: Harm this long before a request may still have its effect on it, in s.
-_AFTERMATH = 3.0
+#: Minimum time before the deadline, by status, at which a response counts as
+#: giving the request up. The timeout of the routes is longer. At the deadline
+#: 502 is as valid as 504: it means that the owner of the upstream reported no
+#: answer in time, a few ms early at most because it receives its timeout in
+#: whole ms.
+_MIN_TIME_LEFT_S = {502: 0.01, 504: 0.3}
+#: Time for which a disruption may still affect later requests.
+_DISRUPTION_EFFECT_S = 3.0
 
 
-class _Run(Struct, frozen=True):
-    """One run of a request, and the VM whose daemon had it run."""
+class _Execution(Struct, frozen=True):
+    """One execution of a request, and the VM whose daemon forwarded it."""
 
     node: Node
     upstream: Upstream
     at: float
 
 
-class Work:
-    """Where requests have run."""
+class AbandonedRequests:
+    """Detects abandoned requests from the executions at all upstreams."""
 
     def __init__(self) -> None:
-        self._runs: dict[str, list[_Run]] = defaultdict(list)
+        self._executions: dict[str, list[_Execution]] = defaultdict(list)
 
-    def note(self, id: str, node: Node, upstream: Upstream, at: float) -> None:
-        """A request began to run."""
-        self._runs[id].append(_Run(node, upstream, at))
+    def add_execution(
+        self, id: str, node: Node, upstream: Upstream, at: float
+    ) -> None:
+        """Add an execution that an upstream started."""
+        self._executions[id].append(_Execution(node, upstream, at))
 
-    def find_given_up(self, asked: Asked, taker: Node) -> str:
-        """Who was at work, or had ended well, on one given up; or nothing.
+    def find_abandoned(self, record: RequestRecord, ingress: Node) -> str:
+        """Describe the execution of a request that was given up, or return ''.
 
-        That harm excuses which fits to the request: of the daemon that took
-        it, of the one that had it run, of the links of both, and of that
-        upstream. Closed connections have a stricter promise of their own.
+        Only disruptions that concern the request are an excuse: of the daemon
+        that received it, of the daemon that forwarded it to the upstream, of
+        the links of both, and of that upstream. Lost connections are covered
+        by a stricter guarantee.
         """
-        if not _is_given_up(asked):
+        if not _is_abandoned(record):
             return ''
-        since = asked.sent_at - _AFTERMATH
-        if _is_harmed(taker, since):
+        since = record.sent_at - _DISRUPTION_EFFECT_S
+        if _is_disrupted(ingress, since):
             return ''
-        for run in self._runs[asked.id]:
-            if run.at <= asked.ended_at and _is_sound(run, since):
+        for execution in self._executions[record.id]:
+            if execution.at <= record.ended_at and _is_intact(execution, since):
                 return (
-                    f'{asked.id} got {asked.status} after '
-                    f'{asked.ended_at - asked.sent_at:.3f} s; it ran at '
-                    f'{run.upstream.instance} from '
-                    f'{run.at - asked.sent_at:.3f} s'
+                    f'{record.id} got {record.status} after '
+                    f'{record.ended_at - record.sent_at:.3f} s; it ran at '
+                    f'{execution.upstream.instance} from '
+                    f'{execution.at - record.sent_at:.3f} s'
                 )
         return ''
 
 
-def _is_given_up(asked: Asked) -> bool:
-    least = _GIVING_UP.get(asked.status)
-    left = asked.sent_at + DEADLINE - asked.ended_at
-    return least is not None and left > least
+def _is_abandoned(record: RequestRecord) -> bool:
+    min_time_left = _MIN_TIME_LEFT_S.get(record.status)
+    time_left = record.sent_at + DEADLINE_S - record.ended_at
+    return min_time_left is not None and time_left > min_time_left
 
 
-def _is_harmed(node: Node, since: float) -> bool:
+def _is_disrupted(node: Node, since: float) -> bool:
     return (
         node.is_paused
-        or node.harmed_at >= since
-        or not node.peers.is_sound(since)
+        or node.last_disrupted_at >= since
+        or not node.peer_link.is_intact(since)
     )
 
 
-def _is_sound(run: _Run, since: float) -> bool:
+def _is_intact(execution: _Execution, since: float) -> bool:
     return not (
-        _is_harmed(run.node, since)
-        or not run.node.to_upstream.is_sound(since)
-        or run.upstream.died_at >= since
-        or run.upstream.fails
+        _is_disrupted(execution.node, since)
+        or not execution.node.upstream_link.is_intact(since)
+        or execution.upstream.terminated_at >= since
+        or execution.upstream.fails_requests
     )
--- a/libs/soak/src/verbenamill_soak/callers.py
+++ b/libs/soak/src/verbenamill_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the daemon is gone."""
+"""Callers that reuse one connection until it fails or the daemon closes it."""
 
 from collections.abc import Callable
 from enum import Enum, unique
@@ -14,27 +14,37 @@
 )
 from verbenamill_soak.nodes import Node
 
-HOST = '127.0.0.1'
-SITE = 'shop.example'
-#: Deadline that callers tell, in seconds.
-DEADLINE = 1.5
-#: How long beyond it a caller waits, to see whether an answer comes, in s.
-PATIENCE = 2.0
-#: Mean pause between two requests of a caller, in seconds.
-PAUSE = 0.04
-#: Share of the requests that must not be repeated.
-_FEES = 0.4
-#: Path that many harmless requests share, and how often it is called.
+LOOPBACK = '127.0.0.1'
+SERVICE_HOST = 'shop.example'
+#: Deadline that callers send with each request.
+DEADLINE_S = 1.5
+#: Time beyond the deadline in which a caller still accepts a response.
+LATE_RESPONSE_WAIT_S = 2.0
+#: Mean pause between two requests of one caller.
+MEAN_PAUSE_S = 0.04
+#: Share of the requests that are not idempotent.
+_FEE_SHARE = 0.4
+#: Path shared by many harmless requests, and the interval of request numbers
+#: at which a lookup uses it.
 POPULAR = '/lookup/popular'
-_POPULAR_EVERY = 5
-#: Share on routes that only some versions have, and versions they are of.
-_PROBES = 0.25
-_NEWEST = 3
+_POPULAR_INTERVAL = 5
+#: Share of the requests to routes that only some configuration versions
+#: contain, and the number of newest versions that these routes come from.
+_PROBE_SHARE = 0.25
+_PROBED_VERSIONS = 3
 
 
 @unique
-class Ending(Enum):
-    """How a request ended for its caller."""
+class Outcome(Enum):
+    """How a request ended, as its caller observed it.
+
+    :cvar ANSWERED: the caller received a complete response.
+    :cvar CUT: the connection was lost, or its response was invalid, after the
+        request had been sent.
+    :cvar NO_ANSWER: no response came within the time that a caller waits.
+    :cvar UNSENT: the request was not sent, or it followed a request whose
+        response closed the connection or did not come.
+    """
 
     ANSWERED = 'answered'
     CUT = 'cut'
@@ -42,47 +52,56 @@
     UNSENT = 'unsent'
 
 
-class Asked(Struct, kw_only=True):
-    """One request and what its caller saw."""
+class RequestRecord(Struct, kw_only=True):
+    """One request and the outcome that its caller observed.
+
+    :param daemon_start: number of the daemon start that received the request.
+    """
 
     id: str
     vm: str
-    life: int
+    daemon_start: int
     path: str
     is_fee: bool
     sent_at: float
     target: str = ''
     ended_at: float = 0
-    ending: Ending = Ending.UNSENT
+    outcome: Outcome = Outcome.UNSENT
     status: int = 0
     body: bytes = b''
     seal: bytes = b''
 
 
 class Caller:
-    """One caller on a VM, with one connection at a time."""
+    """A caller on a VM that uses one connection at a time."""
 
-    def __init__(self, node: Node, place: int, random: Random) -> None:
-        self.asked: list[Asked] = []
+    def __init__(self, node: Node, index: int, random: Random) -> None:
+        self.records: list[RequestRecord] = []
         self._node = node
-        self._name = f'{node.name}-{place}'
+        self._name = f'{node.name}-{index}'
         self._random = random
         self._stream: trio.SocketStream | None = None
         self._connection = h11.Connection(h11.CLIENT)
 
     async def run(self, versions: Callable[[], list[int]]) -> None:
-        """Call until cancelled.
+        """Send requests until cancelled.
 
-        :param versions: those that were published, the newest last.
+        :param versions: returns the published configuration versions, the
+            newest last.
         """
         while True:
-            await trio.sleep(self._random.expovariate(1 / PAUSE))
-            is_fee = self._random.random() < _FEES
+            await trio.sleep(self._random.expovariate(1 / MEAN_PAUSE_S))
+            is_fee = self._random.random() < _FEE_SHARE
             path = '/fee/' if is_fee else '/lookup/'
-            if self._random.random() < _PROBES:
+            if self._random.random() < _PROBE_SHARE:
                 is_fee = False
-                path = f'/v{self._random.choice(versions()[-_NEWEST:])}/'
-            if path == '/lookup/' and len(self.asked) % _POPULAR_EVERY == 0:
+                path = (
+                    f'/v{self._random.choice(versions()[-_PROBED_VERSIONS:])}/'
+                )
+            if (
+                path == '/lookup/'
+                and len(self.records) % _POPULAR_INTERVAL == 0
+            ):
                 await self.call(POPULAR, is_fee=False, is_unique=False)
             else:
                 await self.call(path, is_fee=is_fee)
@@ -93,93 +112,96 @@
         *,
         is_fee: bool,
         is_unique: bool = True,
-    ) -> Asked:
-        """Make one request.
+    ) -> RequestRecord:
+        """Send one request and return its record.
 
-        :param is_unique: whether its path is one that no other request has.
+        :param is_unique: whether the request ID is part of the path, so that
+            no other request has the same path.
         """
-        asked = self._note(path, is_fee=is_fee, is_unique=is_unique)
+        record = self._add_record(path, is_fee=is_fee, is_unique=is_unique)
         try:
-            await self._exchange(asked)
+            await self._send_and_receive(record)
         except (OSError, trio.BrokenResourceError, h11.ProtocolError):
-            if asked.ending is not Ending.UNSENT:
-                asked.ending = Ending.CUT
-            await self._drop()
-        asked.ended_at = trio.current_time()
-        return asked
+            if record.outcome is not Outcome.UNSENT:
+                record.outcome = Outcome.CUT
+            await self._drop_connection()
+        record.ended_at = trio.current_time()
+        return record
 
-    def _note(
+    def _add_record(
         self,
         path: str,
         *,
         is_fee: bool,
         is_unique: bool = True,
-    ) -> Asked:
-        id = f'{self._name}-{len(self.asked)}'
-        asked = Asked(
+    ) -> RequestRecord:
+        id = f'{self._name}-{len(self.records)}'
+        record = RequestRecord(
             id=id,
             target=f'{path}{id}' if is_unique else path,
             vm=self._node.name,
-            life=self._node.lives,
+            daemon_start=self._node.daemon_starts,
             path=path,
             is_fee=is_fee,
             sent_at=trio.current_time(),
         )
-        self.asked.append(asked)
-        return asked
+        self.records.append(record)
+        return record
 
-    async def _exchange(self, asked: Asked) -> None:
+    async def _send_and_receive(self, record: RequestRecord) -> None:
         if self._stream is None:
             self._stream = await trio.open_tcp_stream(
-                HOST,
+                LOOPBACK,
                 self._node.ports[0],
             )
             self._connection = h11.Connection(h11.CLIENT)
         request = h11.Request(
-            method='POST' if asked.is_fee else 'GET',
-            target=asked.target,
+            method='POST' if record.is_fee else 'GET',
+            target=record.target,
             headers=[
-                ('Host', SITE),
-                *request_headers(asked.id, deadline=DEADLINE),
+                ('Host', SERVICE_HOST),
+                *request_headers(record.id, deadline=DEADLINE_S),
                 ('Content-Length', '0'),
             ],
         )
         data = self._connection.send(request) or b''
         self._connection.send(h11.EndOfMessage())
         await self._stream.send_all(data)
-        asked.ending = Ending.NO_ANSWER
-        with trio.move_on_after(DEADLINE + PATIENCE):
-            await self._read(self._stream, asked)
-        if asked.ending is not Ending.ANSWERED:
-            await self._drop()
+        record.outcome = Outcome.NO_ANSWER
+        with trio.move_on_after(DEADLINE_S + LATE_RESPONSE_WAIT_S):
+            await self._read_response(self._stream, record)
+        if record.outcome is not Outcome.ANSWERED:
+            await self._drop_connection()
             return
         if self._connection.our_state is h11.DONE:
             self._connection.start_next_cycle()
         else:
-            await self._drop()
+            await self._drop_connection()
 
-    async def _read(self, stream: trio.SocketStream, asked: Asked) -> None:
+    async def _read_response(
+        self, stream: trio.SocketStream, record: RequestRecord
+    ) -> None:
         while True:
             event = self._connection.next_event()
             match event:
                 case h11.NEED_DATA:
                     data = await stream.receive_some(65_536)
                     if not data:
-                        asked.ending = Ending.CUT
+                        record.outcome = Outcome.CUT
                     self._connection.receive_data(data)
                 case h11.Response():
-                    asked.status = event.status_code
-                    asked.seal = read_seal(event.headers)
+                    record.status = event.status_code
+                    record.seal = read_seal(event.headers)
                 case h11.Data():
-                    asked.body += bytes(event.data)
+                    record.body += bytes(event.data)
                 case h11.EndOfMessage():
-                    asked.ending = Ending.ANSWERED
+                    record.outcome = Outcome.ANSWERED
                     return
                 case _:
-                    asked.ending = Ending.CUT
+                    record.outcome = Outcome.CUT
                     return
 
-    async def _drop(self) -> None:
+    async def _drop_connection(self) -> None:
         if self._stream is not None:
             await trio.aclose_forcefully(self._stream)
         self._stream = None
--- a/libs/soak/src/verbenamill_soak/deadly_request.py
+++ b/libs/soak/src/verbenamill_soak/deadly_request.py
@@ -1,58 +1,73 @@
-"""Counts the runs of a request that crashes the upstreams that run it."""
+"""Monitors executions of a request that crashes every upstream.
+
+The daemons have to block such a request after a few crashes; reports call it
+a deadly request.
+"""
 
 from collections.abc import Iterator
 
 from msgspec import Struct
 
+from verbenamill_soak.cluster import Cluster
 from verbenamill_soak.nodes import Node
-from verbenamill_soak.cluster import Site
 
-#: Crashes after which the request has to be stopped, time until then in
-#: seconds, and runs that are allowed after that time.
-_CRASHES = 3
-_WINDOW = 3.0
-MOST_LATE = 3
+#: Crashes after which the daemons have to block the request.
+_CRASH_THRESHOLD = 3
+#: Time from the last of these crashes until the request has to be blocked.
+_BLOCK_LIMIT_S = 3.0
+#: Executions that are tolerated after that time.
+MAX_LATE_EXECUTIONS = 3
+
 
+class _Execution(Struct, frozen=True):
+    """One execution.
 
-class _Run(Struct, frozen=True):
-    """One run; ``is_calm``: no trouble at the VMs that had a hand in it."""
+    :param is_fault_free: whether the VMs that handled the request had no
+        fault within the time limit for blocking it.
+    """
 
     id: str
     at: float
-    is_calm: bool
+    is_fault_free: bool
 
 
-class DeadlyRuns:
-    """Runs of the deadly request, over all upstreams."""
+class DeadlyRequestMonitor:
+    """Collects the executions of the deadly request at all upstreams."""
 
-    def __init__(self, site: Site) -> None:
-        self._site = site
-        self._runs: list[_Run] = []
+    def __init__(self, cluster: Cluster) -> None:
+        self._cluster = cluster
+        self._executions: list[_Execution] = []
 
-    def note(self, id: str, owner: Node, at: float) -> None:
-        """An upstream began to run it.
+    def add_execution(self, id: str, owner: Node, at: float) -> None:
+        """Add an execution that an upstream started.
 
-        :param id: begins with the name of the VM where the request came.
+        :param id: request ID; starts with the name of the VM whose daemon
+            received the request.
         """
-        name = id.partition('-')[0]
-        takers = [node for node in self._site.nodes if node.name == name]
-        involved = (owner, *takers)
-        is_calm = all(self._site.is_calm(one, at - _WINDOW) for one in involved)
-        self._runs.append(_Run(id, at, is_calm))
-
-    def find_late(self) -> list[str]:
-        """Runs later than the window after the third crash, as text."""
-        crashes = sorted(self._find_crashes())
-        if len(crashes) < _CRASHES:
+        ingress_name = id.partition('-')[0]
+        ingresses = [
+            node for node in self._cluster.nodes if node.name == ingress_name
+        ]
+        involved_nodes = (owner, *ingresses)
+        is_fault_free = all(
+            self._cluster.is_fault_free(node, at - _BLOCK_LIMIT_S)
+            for node in involved_nodes
+        )
+        self._executions.append(_Execution(id, at, is_fault_free))
+
+    def find_late_executions(self) -> list[str]:
+        """Describe the executions that started after the time limit."""
+        crash_times = sorted(self._crash_times())
+        if len(crash_times) < _CRASH_THRESHOLD:
             return []
-        end = crashes[_CRASHES - 1] + _WINDOW
+        limit_at = crash_times[_CRASH_THRESHOLD - 1] + _BLOCK_LIMIT_S
         return [
-            f'{run.id} {run.at - end:.2f} s late'
-            for run in self._runs
-            if run.is_calm and run.at > end
+            f'{execution.id} {execution.at - limit_at:.2f} s late'
+            for execution in self._executions
+            if execution.is_fault_free and execution.at > limit_at
         ]
 
-    def _find_crashes(self) -> Iterator[float]:
-        for node in self._site.nodes:
+    def _crash_times(self) -> Iterator[float]:
+        for node in self._cluster.nodes:
             for upstream in node.upstreams:
-                yield from upstream.killed_at
+                yield from upstream.deadly_crash_times
--- a/libs/soak/src/verbenamill_soak/fault_injection.py
+++ b/libs/soak/src/verbenamill_soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""What happens to a site: troubles are played, and lifted."""
+"""Injects faults into a cluster and lifts them."""
 
 import signal
 from random import Random
@@ -7,240 +7,277 @@
 
 from verbenamill_platform_standins.operators import OPERATORS_TOPIC
 from verbenamill_soak.callers import Caller
-from verbenamill_soak.nodes import GRACE, Node
-from verbenamill_soak.plan import Kind, Trouble
-from verbenamill_soak.relays import Way
-from verbenamill_soak.cluster import Site
-from verbenamill_soak.upstreams import DEADLY, DRAIN_TIME, LONG_WORK, WORK
-
-#: Moves of one run; more would leave no version that was not touched.
-_MOST_ORDERS = 3
-#: Limits that upstreams name, in requests a second, and by what they fall.
-_LIMITS = (10, 5, 2.3, 0)
-_FALL = 3.0
-#: How long an upstream whose answers say that it leaves listens beyond the time
-#: in which it may get work, in seconds.
-_STAYS_ON = 2.0
-#: Kinds after which the store needs time to be taken as sound again.
+from verbenamill_soak.cluster import Cluster
+from verbenamill_soak.nodes import STOP_GRACE_MS, Node
+from verbenamill_soak.plan import Fault, FaultKind
+from verbenamill_soak.relays import LinkMode
+from verbenamill_soak.upstreams import (
+    DEADLY_PATH,
+    DRAIN_TIME_S,
+    LONG_SERVICE_TIME_S,
+    SERVICE_TIME_S,
+)
+
+#: Rollouts of one run; more would leave no version unaffected by a rollout.
+_MAX_ORDERS = 3
+#: Limits that upstreams announce first.
+_LIMITS_PER_SECOND = (10, 5, 2.3, 0)
+#: Factor by which the second limit is lower than the first.
+_LIMIT_REDUCTION = 3.0
+#: Time for which an upstream that announces its leave in responses listens
+#: after the end of the time in which it may get requests.
+_EXTRA_LISTEN_S = 2.0
+#: Kinds after which the store counts as faulty for a settling time.
 _STORE_KINDS = frozenset(
     (
-        Kind.STORE_DOWN,
-        Kind.STORE_SILENT,
-        Kind.STORE_LOSES,
-        Kind.STORE_COMPACT,
+        FaultKind.STORE_DOWN,
+        FaultKind.STORE_SILENT,
+        FaultKind.STORE_LOSES,
+        FaultKind.STORE_COMPACT,
     ),
 )
-#: One that had not come up yet has nothing in hand and no handler; it ends
-#: by the signal itself.
-_GOOD_ENDS = (0, -signal.SIGTERM)
+#: A daemon that is still starting has no requests and no signal handler yet, so
+#: SIGTERM itself terminates it.
+_EXPECTED_EXIT_CODES = (0, -signal.SIGTERM)
 
 
-class Troubles:
-    """Plays the troubles of a plan on a site."""
+class FaultInjector:
+    """Injects the faults of a plan into a cluster."""
 
-    def __init__(self, site: Site) -> None:
-        self._site = site
+    def __init__(self, cluster: Cluster) -> None:
+        self._cluster = cluster
 
-    async def play(self, trouble: Trouble) -> None:
-        """Have one trouble happen, and lift it."""
-        site = self._site
-        told = f'{trouble.kind.value} for {trouble.lasts:g} s'
-        # Troubles of upstreams alone: all is asked of their daemons as ever.
-        if trouble.kind is Kind.DEADLY:
-            await self._come(trouble, site.nodes[trouble.vm])
+    async def inject(self, fault: Fault) -> None:
+        """Inject one fault and lift it."""
+        cluster = self._cluster
+        description = f'{fault.kind.value} for {fault.duration:g} s'
+        # These faults affect only upstreams and do not excuse the daemons.
+        if fault.kind is FaultKind.DEADLY:
+            await self._send_deadly_request(fault, cluster.nodes[fault.vm])
             return
-        if trouble.kind is Kind.CRASH:
-            self._crash(site.nodes[trouble.vm])
+        if fault.kind is FaultKind.CRASH:
+            self._crash_upstream(cluster.nodes[fault.vm])
             return
-        if trouble.kind is Kind.LIMIT:
-            await self._limit(trouble, site.nodes[trouble.vm])
+        if fault.kind is FaultKind.LIMIT:
+            await self._announce_limits(fault, cluster.nodes[fault.vm])
             return
-        if trouble.kind is Kind.LEAVES_IN_BAND:
-            await self._leave_in_band(site.nodes[trouble.vm])
+        if fault.kind is FaultKind.LEAVES_IN_BAND:
+            await self._leave_in_band(cluster.nodes[fault.vm])
             return
-        if trouble.vm >= 0:
-            node = site.nodes[trouble.vm]
-            site.timeline.tell(f'{node.name}: {told}')
-            with node.troubled():
-                await self._play_at(trouble, node)
+        if fault.vm >= 0:
+            node = cluster.nodes[fault.vm]
+            cluster.timeline.add_event(f'{node.name}: {description}')
+            with node.fault_active():
+                await self._inject_vm_fault(fault, node)
             return
-        site.timeline.tell(told)
-        if trouble.kind in _STORE_KINDS:
-            with site.troubled_store():
-                await self._play_store(trouble)
+        cluster.timeline.add_event(description)
+        if fault.kind in _STORE_KINDS:
+            with cluster.store_fault_active():
+                await self._inject_store_fault(fault)
         else:
-            await self._play_wish(trouble)
-
-    async def _play_wish(self, trouble: Trouble) -> None:
-        site = self._site
-        if trouble.kind is Kind.CONFIGURE:
-            site.publish()
-        elif len(site.orders) < _MOST_ORDERS:
-            await site.bring_in(
-                trouble.draw % len(site.nodes),
-                is_bad=bool(trouble.draw % 2),
+            await self._inject_change(fault)
+
+    async def _inject_change(self, fault: Fault) -> None:
+        cluster = self._cluster
+        if fault.kind is FaultKind.CONFIGURE:
+            cluster.publish()
+        elif len(cluster.orders) < _MAX_ORDERS:
+            await cluster.start_rollout(
+                fault.random_value % len(cluster.nodes),
+                is_bad=bool(fault.random_value % 2),
             )
 
-    async def _play_store(self, trouble: Trouble) -> None:
-        store = self._site.store
-        match trouble.kind:
-            case Kind.STORE_COMPACT:
+    async def _inject_store_fault(self, fault: Fault) -> None:
+        store = self._cluster.store
+        match fault.kind:
+            case FaultKind.STORE_COMPACT:
                 store.compact(OPERATORS_TOPIC)
-            case Kind.STORE_LOSES:
-                store.answers_to_drop += 1 + trouble.draw % 3
-            case Kind.STORE_DOWN:
+            case FaultKind.STORE_LOSES:
+                store.answers_to_drop += 1 + fault.random_value % 3
+            case FaultKind.STORE_DOWN:
                 store.is_down = True
-                await trio.sleep(trouble.lasts)
+                await trio.sleep(fault.duration)
                 store.is_down = False
             case _:
                 store.is_silent = True
-                await trio.sleep(trouble.lasts)
+                await trio.sleep(fault.duration)
                 store.is_silent = False
 
-    async def _play_at(self, trouble: Trouble, node: Node) -> None:
-        match trouble.kind:
-            case Kind.KILL | Kind.STOP | Kind.PAUSE | Kind.CLOCK:
-                await self._play_signal(trouble, node)
-            case Kind.RELOAD:
-                node.send(signal.SIGHUP)
-            case Kind.DRAIN | Kind.UNTOLD | Kind.REPLACE:
-                await self._replace(trouble, node)
-            case Kind.CUT_STORE:
-                way = (Way.REFUSED, Way.SILENT, Way.ONE_WAY)[trouble.draw % 3]
-                node.to_store.set(way)
-                await trio.sleep(trouble.lasts)
-                node.to_store.set(Way.OPEN)
+    async def _inject_vm_fault(self, fault: Fault, node: Node) -> None:
+        match fault.kind:
+            case (
+                FaultKind.KILL
+                | FaultKind.STOP
+                | FaultKind.PAUSE
+                | FaultKind.CLOCK
+            ):
+                await self._inject_process_fault(fault, node)
+            case FaultKind.RELOAD:
+                node.signal_daemon(signal.SIGHUP)
+            case FaultKind.DRAIN | FaultKind.UNTOLD | FaultKind.REPLACE:
+                await self._replace_upstream(fault, node)
+            case FaultKind.CUT_STORE:
+                mode = (LinkMode.REFUSED, LinkMode.SILENT, LinkMode.ONE_WAY)[
+                    fault.random_value % 3
+                ]
+                node.store_link.set(mode)
+                await trio.sleep(fault.duration)
+                node.store_link.set(LinkMode.OPEN)
             case _:
-                await self._play_link(trouble, node)
+                await self._inject_link_fault(fault, node)
 
-    async def _play_link(self, trouble: Trouble, node: Node) -> None:
-        switch = node.peers
-        match trouble.kind:
-            case Kind.RESET_PEERS:
-                switch.reset()
+    async def _inject_link_fault(self, fault: Fault, node: Node) -> None:
+        link = node.peer_link
+        match fault.kind:
+            case FaultKind.RESET_PEERS:
+                link.reset()
                 return
-            case Kind.RESET_UPSTREAM:
-                node.to_upstream.reset()
+            case FaultKind.RESET_UPSTREAM:
+                node.upstream_link.reset()
                 return
-            case Kind.SILENT_UPSTREAM:
-                switch = node.to_upstream
-                switch.set(Way.SILENT)
-            case Kind.CUT_PEERS:
-                switch.set(Way.SILENT if trouble.draw % 2 else Way.REFUSED)
-            case Kind.CUT_ONE_WAY:
-                switch.set(Way.ONE_WAY)
-            case Kind.LATE_PEERS:
-                await self._hold(trouble, node)
+            case FaultKind.SILENT_UPSTREAM:
+                link = node.upstream_link
+                link.set(LinkMode.SILENT)
+            case FaultKind.CUT_PEERS:
+                link.set(
+                    LinkMode.SILENT
+                    if fault.random_value % 2
+                    else LinkMode.REFUSED
+                )
+            case FaultKind.CUT_ONE_WAY:
+                link.set(LinkMode.ONE_WAY)
+            case FaultKind.LATE_PEERS:
+                await self._hold_peer_link(fault, node)
                 return
-            case Kind.SLOW_PEERS:
-                switch.delay = 0.05 + trouble.draw % 100 / 1000
-        await trio.sleep(trouble.lasts)
-        switch.delay = 0
-        switch.set(Way.OPEN)
+            case FaultKind.SLOW_PEERS:
+                link.delay = 0.05 + fault.random_value % 100 / 1000
+        await trio.sleep(fault.duration)
+        link.delay = 0
+        link.set(LinkMode.OPEN)
 
-    def _crash(self, node: Node) -> None:
+    def _crash_upstream(self, node: Node) -> None:
         if node.is_serving(node.upstream):
-            self._site.timeline.tell(f'{node.name}: its upstream crashes')
+            self._cluster.timeline.add_event(
+                f'{node.name}: its upstream crashes'
+            )
             node.upstream.crash()
 
-    async def _come(self, trouble: Trouble, node: Node) -> None:
-        """The deadly request comes, and once more if it failed."""
-        caller = Caller(node, node.next_place(), Random(trouble.draw))
-        self._site.callers.append(caller)
-        for _ in range(1 + trouble.draw % 2):
-            asked = await caller.call(DEADLY, is_fee=False, is_unique=False)
-            self._site.timeline.tell(
-                f'{node.name}: the deadly request {asked.id} got '
-                f'{asked.ending.value} {asked.status}',
+    async def _send_deadly_request(self, fault: Fault, node: Node) -> None:
+        """Send the deadly request, with some random values twice."""
+        caller = Caller(
+            node, node.next_caller_index(), Random(fault.random_value)
+        )
+        self._cluster.callers.append(caller)
+        for _ in range(1 + fault.random_value % 2):
+            record = await caller.call(
+                DEADLY_PATH, is_fee=False, is_unique=False
+            )
+            self._cluster.timeline.add_event(
+                f'{node.name}: the deadly request {record.id} got '
+                f'{record.outcome.value} {record.status}',
             )
 
-    async def _limit(self, trouble: Trouble, node: Node) -> None:
-        """Have an upstream name a limit, a smaller one, and none."""
+    async def _announce_limits(self, fault: Fault, node: Node) -> None:
+        """Let an upstream announce a limit, then a lower one, and then none."""
         upstream = node.upstream
-        first = _LIMITS[trouble.draw % len(_LIMITS)]
-        for rate in (first, first / _FALL):
-            upstream.name_limit(rate)
-            self._site.timeline.tell(
+        first_limit = _LIMITS_PER_SECOND[
+            fault.random_value % len(_LIMITS_PER_SECOND)
+        ]
+        for rate in (first_limit, first_limit / _LIMIT_REDUCTION):
+            upstream.announce_limit(rate)
+            self._cluster.timeline.add_event(
                 f'{node.name}: {upstream.name} takes {rate:.2g} a second',
             )
-            await trio.sleep(trouble.lasts / 2)
-        upstream.name_limit(None)
-        self._site.timeline.tell(f'{node.name}: {upstream.name} has no limit')
+            await trio.sleep(fault.duration / 2)
+        upstream.announce_limit(None)
+        self._cluster.timeline.add_event(
+            f'{node.name}: {upstream.name} has no limit'
+        )
 
     async def _leave_in_band(self, node: Node) -> None:
-        """Have an upstream say in its answers that it leaves, and end."""
+        """Let an upstream announce its leave in responses, and replace it."""
         upstream = node.upstream
         upstream.signals_leaving = True
-        self._site.timeline.tell(f'{node.name}: {upstream.name} says it leaves')
-        await trio.sleep(DRAIN_TIME + _STAYS_ON)
+        self._cluster.timeline.add_event(
+            f'{node.name}: {upstream.name} says it leaves'
+        )
+        await trio.sleep(DRAIN_TIME_S + _EXTRA_LISTEN_S)
         if node.is_serving(upstream):
             node.end_upstream(upstream)
-            await node.add_upstream(upstream.version, fails=upstream.fails)
+            await node.add_upstream(
+                upstream.version, fails_requests=upstream.fails_requests
+            )
 
-    async def _hold(self, trouble: Trouble, node: Node) -> None:
-        """Hold what is new on its link, while its upstream works for long."""
-        node.holds += 1
-        node.peers.hold(holds=True)
+    async def _hold_peer_link(self, fault: Fault, node: Node) -> None:
+        """Hold the peer link while the upstream takes long per request."""
+        node.active_holds += 1
+        node.peer_link.set_holding(is_holding=True)
         upstream = node.upstream
-        upstream.service_time = LONG_WORK
-        await trio.sleep(trouble.lasts)
-        node.holds -= 1
-        if not node.holds:
-            node.peers.hold(holds=False)
-            upstream.service_time = WORK
-
-    async def _play_signal(self, trouble: Trouble, node: Node) -> None:
-        if node.starting.locked():
-            # The process is already on its way down, or paused; the next
-            # signal of a series comes on top of that.
-            node.send(signal.SIGTERM)
+        upstream.service_time = LONG_SERVICE_TIME_S
+        await trio.sleep(fault.duration)
+        node.active_holds -= 1
+        if not node.active_holds:
+            node.peer_link.set_holding(is_holding=False)
+            upstream.service_time = SERVICE_TIME_S
+
+    async def _inject_process_fault(self, fault: Fault, node: Node) -> None:
+        if node.lifecycle_lock.locked():
+            # Another fault is already stopping or pausing the process; this
+            # fault only sends a further signal.
+            node.signal_daemon(signal.SIGTERM)
             return
-        async with node.starting:
-            await self._signal_alone(trouble, node)
-            # Another signal of a series may be ending it meanwhile.
+        async with node.lifecycle_lock:
+            await self._apply_process_fault(fault, node)
+            # A concurrent fault may have sent a terminating signal.
             while node.is_expected_to_end:
-                await self._stop(node)
+                await self._stop_daemon(node)
                 await node.start()
 
-    async def _signal_alone(self, trouble: Trouble, node: Node) -> None:
-        match trouble.kind:
-            case Kind.PAUSE:
+    async def _apply_process_fault(self, fault: Fault, node: Node) -> None:
+        match fault.kind:
+            case FaultKind.PAUSE:
                 node.is_paused = True
-                node.send(signal.SIGSTOP)
-                await trio.sleep(trouble.lasts)
-                node.send(signal.SIGCONT)
+                node.signal_daemon(signal.SIGSTOP)
+                await trio.sleep(fault.duration)
+                node.signal_daemon(signal.SIGCONT)
                 node.is_paused = False
-            case Kind.STOP:
-                await self._stop(node)
+            case FaultKind.STOP:
+                await self._stop_daemon(node)
                 await node.start()
             case _:
-                node.send(signal.SIGKILL)
-                await node.wait(GRACE / 1000)
-                await trio.sleep(trouble.lasts / 2)
-                is_clock = trouble.kind is Kind.CLOCK
-                await node.start(clock=trouble.lasts * 10 * is_clock)
-
-    async def _stop(self, node: Node) -> None:
-        node.send(signal.SIGTERM)
-        code = await node.wait(GRACE / 1000)
+                node.signal_daemon(signal.SIGKILL)
+                await node.wait_for_exit(STOP_GRACE_MS / 1000)
+                await trio.sleep(fault.duration / 2)
+                sets_clock_back = fault.kind is FaultKind.CLOCK
+                await node.start(
+                    clock_lag=fault.duration * 10 * sets_clock_back
+                )
+
+    async def _stop_daemon(self, node: Node) -> None:
+        node.signal_daemon(signal.SIGTERM)
+        code = await node.wait_for_exit(STOP_GRACE_MS / 1000)
         if code is None:
-            self._site.timeline.break_promise('ends in time', node.name)
-            node.send(signal.SIGKILL)
-            await node.wait(1)
-        elif code not in _GOOD_ENDS:
-            self._site.timeline.break_promise(
+            self._cluster.timeline.add_violation('ends in time', node.name)
+            node.signal_daemon(signal.SIGKILL)
+            await node.wait_for_exit(1)
+        elif code not in _EXPECTED_EXIT_CODES:
+            self._cluster.timeline.add_violation(
                 'a planned stop ends well',
                 f'{node.name} ended with {code}',
             )
 
-    async def _replace(self, trouble: Trouble, node: Node) -> None:
+    async def _replace_upstream(self, fault: Fault, node: Node) -> None:
         upstream = node.upstream
         if not node.is_serving(upstream):
             return
-        if trouble.kind is Kind.REPLACE:
+        if fault.kind is FaultKind.REPLACE:
             node.end_upstream(upstream)
-            await trio.sleep(trouble.lasts / 3)
+            await trio.sleep(fault.duration / 3)
         else:
-            is_told = trouble.kind is Kind.DRAIN
-            await node.leave(upstream, is_told=is_told)
-        await node.add_upstream(upstream.version, fails=upstream.fails)
+            announces_drain = fault.kind is FaultKind.DRAIN
+            await node.remove_upstream(
+                upstream, announces_drain=announces_drain
+            )
+        await node.add_upstream(
+            upstream.version, fails_requests=upstream.fails_requests
+        )
--- a/libs/soak/src/verbenamill_soak/guarantees.py
+++ b/libs/soak/src/verbenamill_soak/guarantees.py
@@ -1,4 +1,4 @@
-"""Promises, checked from what callers and upstreams have seen."""
+"""Checks guarantees from the records of callers and upstreams."""
 
 from collections import defaultdict
 
@@ -12,251 +12,303 @@
     read_statuses,
 )
 from verbenamill_platform_standins.upstream import Execution
-from verbenamill_soak.callers import Asked, Caller, Ending
-from verbenamill_soak.deadly_request import MOST_LATE, DeadlyRuns
-from verbenamill_soak.abandoned import Work
-from verbenamill_soak.in_band_signals import InBandPromises
+from verbenamill_soak.abandoned import AbandonedRequests
+from verbenamill_soak.callers import Caller, Outcome, RequestRecord
+from verbenamill_soak.cluster import ROUTE_VERSIONS_KEPT, SERVICE, Cluster
+from verbenamill_soak.deadly_request import (
+    MAX_LATE_EXECUTIONS,
+    DeadlyRequestMonitor,
+)
+from verbenamill_soak.in_band_signals import InBandSignalChecker
 from verbenamill_soak.nodes import Node
-from verbenamill_soak.cluster import KEPT, SERVICE, Site
-from verbenamill_soak.upstreams import DEADLY, DRAIN_TIME, Upstream
+from verbenamill_soak.upstreams import DEADLY_PATH, DRAIN_TIME_S, Upstream
 
-#: How often new records are looked at, in seconds.
-_PERIOD = 0.2
-#: Answers that promise that a request has not run and never will.
+#: Time between two checks of new records.
+_CHECK_PERIOD_S = 0.2
+#: Statuses which guarantee that a request was not and will not be executed.
 _NOT_RUN = frozenset((408, 421, 429, 503))
 _NOT_FOUND = 404
-#: In the body of a refusal for crashes under a request.
-_BLOCKED = b'upstreams crashed under this request'
+#: Reason in the body of a response to a blocked request.
+_BLOCKED_REASON = b'upstreams crashed under this request'
 _OK = 200
-#: Time in which a configuration has to be in force, and time after a trouble
-#: in which that is not asked of a VM, in seconds.
-APPLY_LIMIT = 2.0
-_SETTLING = 3.0
-#: Time from a taken-back verdict until the version gets nothing more, in s.
-BACK_LIMIT = 5.0
-#: Characters of a traceback that are shown.
-_SHOWN = 900
-_FINAL = (COMPLETE, ROLLED_BACK)
+#: Time in which a published configuration has to be in force.
+APPLY_LIMIT_S = 2.0
+#: Time after a fault in which a VM may exceed that limit.
+_SETTLING_TIME_S = 3.0
+#: Time from the rollback of a version until it must get no more requests.
+ROLLBACK_LIMIT_S = 5.0
+#: Maximum length of a traceback in a report.
+_MAX_TRACEBACK_CHARS = 900
+_FINAL_STATES = (COMPLETE, ROLLED_BACK)
 
 
-class _Life(Struct):
-    """What one life of a daemon has shown of its configuration."""
+class _ObservedConfiguration(Struct):
+    """The newest configuration seen at a daemon since its start."""
 
-    newest: int = 0
+    newest_version: int = 0
     seen_at: float = 0
 
 
-class Promises:
-    """Looks at all records while a run goes on, and once more at its end."""
+class GuaranteeChecker:
+    """Checks all records periodically during a run and once at its end."""
 
-    def __init__(self, site: Site) -> None:
-        self._site = site
-        self._looked_at: dict[Caller, int] = defaultdict(int)
-        self._counted: dict[str, int] = defaultdict(int)
-        self._runs: dict[str, list[str]] = defaultdict(list)
-        self._work = Work()
-        self._deadly = DeadlyRuns(site)
-        self._in_band = InBandPromises(site)
-        self._fees: dict[str, Asked] = {}
-        self._refused: dict[str, Asked] = {}
-        self._lives: dict[tuple[str, int], _Life] = defaultdict(_Life)
+    def __init__(self, cluster: Cluster) -> None:
+        self._cluster = cluster
+        self._checked_records: dict[Caller, int] = defaultdict(int)
+        self._checked_executions: dict[str, int] = defaultdict(int)
+        self._instances_by_request: dict[str, list[str]] = defaultdict(list)
+        self._abandoned_requests = AbandonedRequests()
+        self._deadly_request = DeadlyRequestMonitor(cluster)
+        self._in_band_signals = InBandSignalChecker(cluster)
+        self._fees: dict[str, RequestRecord] = {}
+        self._refused: dict[str, RequestRecord] = {}
+        self._observed_configurations: dict[
+            tuple[str, int], _ObservedConfiguration
+        ] = defaultdict(_ObservedConfiguration)
         self._ended: set[tuple[str, int]] = set()
-        self._told: set[str] = set()
-        self._taken_back: dict[str, float] = {}
+        self._reported: set[str] = set()
+        self._rolled_back_at: dict[str, float] = {}
 
     async def watch(self) -> None:
-        """Look again and again until cancelled."""
+        """Check periodically until cancelled."""
         while True:
-            await trio.sleep(_PERIOD)
-            self.look()
+            await trio.sleep(_CHECK_PERIOD_S)
+            self.check()
 
-    def look(self) -> None:
-        """Look at what is new."""
-        self._look_at_runs()
-        self._in_band.look()
-        for caller in self._site.callers:
-            ended = [one for one in caller.asked if one.ended_at]
-            for asked in ended[self._looked_at[caller] :]:
-                self._look_at_answer(asked)
-            self._looked_at[caller] = len(ended)
-        for node in self._site.nodes:
-            self._look_at_process(node)
-        self._look_at_verdicts()
-        self._look_at_deadly()
-        for name, text in self._in_band.find_excess():
-            self._break('a named limit is kept', name, text)
+    def check(self) -> None:
+        """Check the records added since the last call."""
+        self._check_executions()
+        self._in_band_signals.collect_arrivals()
+        for caller in self._cluster.callers:
+            ended = [
+                finished for finished in caller.records if finished.ended_at
+            ]
+            for record in ended[self._checked_records[caller] :]:
+                self._check_record(record)
+            self._checked_records[caller] = len(ended)
+        for node in self._cluster.nodes:
+            self._check_process(node)
+        self._check_statuses()
+        self._check_deadly_request()
+        for name, text in self._in_band_signals.find_exceeded_limits():
+            self._report_violation('a named limit is kept', name, text)
 
-    def _break(self, promise: str, key: str, text: str) -> None:
-        if f'{promise}/{key}' not in self._told:
-            self._told.add(f'{promise}/{key}')
-            self._site.timeline.break_promise(promise, text)
+    def _report_violation(self, promise: str, key: str, text: str) -> None:
+        if f'{promise}/{key}' not in self._reported:
+            self._reported.add(f'{promise}/{key}')
+            self._cluster.timeline.add_violation(promise, text)
 
-    def _look_at_runs(self) -> None:
-        for node in self._site.nodes:
+    def _check_executions(self) -> None:
+        for node in self._cluster.nodes:
             for upstream in node.upstreams:
-                first = self._counted[upstream.name]
-                for ran in upstream.executions[first:]:
-                    self._look_at_run(node, upstream, ran)
-                self._counted[upstream.name] = len(upstream.executions)
+                first = self._checked_executions[upstream.name]
+                for execution in upstream.executions[first:]:
+                    self._check_execution(node, upstream, execution)
+                self._checked_executions[upstream.name] = len(
+                    upstream.executions
+                )
 
-    def _look_at_run(
-        self, node: Node, upstream: Upstream, ran: Execution
+    def _check_execution(
+        self, node: Node, upstream: Upstream, execution: Execution
     ) -> None:
-        self._runs[ran.id].append(upstream.instance)
-        self._work.note(ran.id, node, upstream, ran.at)
-        if ran.path == DEADLY:
-            self._deadly.note(ran.id, node, ran.at)
-        self._look_at_repeats(ran.id)
-        left = upstream.acked_at
-        if left is not None and ran.at > left + DRAIN_TIME:
-            self._break(
+        self._instances_by_request[execution.id].append(upstream.instance)
+        self._abandoned_requests.add_execution(
+            execution.id, node, upstream, execution.at
+        )
+        if execution.path == DEADLY_PATH:
+            self._deadly_request.add_execution(execution.id, node, execution.at)
+        self._check_repetition(execution.id)
+        acknowledged_at = upstream.leave_acknowledged_at
+        if (
+            acknowledged_at is not None
+            and execution.at > acknowledged_at + DRAIN_TIME_S
+        ):
+            self._report_violation(
                 'who leaves gets no work',
-                ran.id,
-                f'{ran.id} ran at {upstream.instance} '
-                f'{ran.at - left:.2f} s after the word',
+                execution.id,
+                f'{execution.id} ran at {upstream.instance} '
+                f'{execution.at - acknowledged_at:.2f} s after the word',
             )
-        back = self._taken_back.get(upstream.version)
-        if back is not None and ran.at > back + BACK_LIMIT:
-            if self._site.is_calm(node, ran.at - BACK_LIMIT):
-                self._break(
+        rolled_back_at = self._rolled_back_at.get(upstream.version)
+        if (
+            rolled_back_at is not None
+            and execution.at > rolled_back_at + ROLLBACK_LIMIT_S
+        ):
+            if self._cluster.is_fault_free(
+                node, execution.at - ROLLBACK_LIMIT_S
+            ):
+                self._report_violation(
                     'a version taken back gets nothing',
-                    ran.id,
-                    f'{ran.id} ran at {upstream.instance} '
-                    f'{ran.at - back:.2f} s after the verdict',
+                    execution.id,
+                    f'{execution.id} ran at {upstream.instance} '
+                    f'{execution.at - rolled_back_at:.2f} s after the verdict',
                 )
 
-    def _look_at_repeats(self, id: str) -> None:
-        runs = self._runs[id]
-        if id in self._fees and len(runs) > 1:
-            self._break('at most once', id, f'{id} ran at {runs}')
+    def _check_repetition(self, id: str) -> None:
+        instances = self._instances_by_request[id]
+        if id in self._fees and len(instances) > 1:
+            self._report_violation(
+                'at most once', id, f'{id} ran at {instances}'
+            )
         if id in self._refused:
-            self._break('not run is true', id, f'{id} ran at {runs}')
+            self._report_violation(
+                'not run is true', id, f'{id} ran at {instances}'
+            )
 
-    def _look_at_answer(self, asked: Asked) -> None:
-        if asked.is_fee:
-            self._fees[asked.id] = asked
-            if asked.status in _NOT_RUN:
-                self._refused[asked.id] = asked
-            if asked.id in self._runs:
-                self._look_at_repeats(asked.id)
-        match asked.ending:
-            case Ending.CUT:
-                self._look_at_cut(asked)
-            case Ending.NO_ANSWER:
-                if not self._was_harmed(asked):
-                    self._break('an answer in time', asked.id, str(asked))
-            case Ending.ANSWERED if asked.status == _OK:
-                if asked.body != f'answer to {asked.id}'.encode():
-                    self._break('the own whole answer', asked.id, str(asked))
-                if not asked.seal:
-                    self._break('the own whole answer', asked.id, str(asked))
-        if _BLOCKED in asked.body and asked.target != DEADLY:
-            self._break(
-                'only a deadly request is blocked', asked.id, str(asked)
+    def _check_record(self, record: RequestRecord) -> None:
+        if record.is_fee:
+            self._fees[record.id] = record
+            if record.status in _NOT_RUN:
+                self._refused[record.id] = record
+            if record.id in self._instances_by_request:
+                self._check_repetition(record.id)
+        match record.outcome:
+            case Outcome.CUT:
+                self._check_cut(record)
+            case Outcome.NO_ANSWER:
+                if not self._was_disrupted(record):
+                    self._report_violation(
+                        'an answer in time', record.id, str(record)
+                    )
+            case Outcome.ANSWERED if record.status == _OK:
+                if record.body != f'answer to {record.id}'.encode():
+                    self._report_violation(
+                        'the own whole answer', record.id, str(record)
+                    )
+                if not record.seal:
+                    self._report_violation(
+                        'the own whole answer', record.id, str(record)
+                    )
+        if _BLOCKED_REASON in record.body and record.target != DEADLY_PATH:
+            self._report_violation(
+                'only a deadly request is blocked', record.id, str(record)
+            )
+        abandoned = self._abandoned_requests.find_abandoned(
+            record, self._get_node(record)
+        )
+        if abandoned:
+            self._report_violation('no work is given up', record.id, abandoned)
+        self._check_configuration(record)
+        for text in self._in_band_signals.check_request(
+            record, self._get_node(record)
+        ):
+            self._report_violation(
+                'who leaves in band gets no work', record.id, text
             )
-        given_up = self._work.find_given_up(asked, self._node_of(asked))
-        if given_up:
-            self._break('no work is given up', asked.id, given_up)
-        self._look_at_version(asked)
-        for text in self._in_band.take(asked, self._node_of(asked)):
-            self._break('who leaves in band gets no work', asked.id, text)
 
-    def _look_at_cut(self, asked: Asked) -> None:
-        """A request that was read is answered, also around planned stops.
+    def _check_cut(self, record: RequestRecord) -> None:
+        """Check that each executed request was answered, also at planned stops.
 
-        One that crosses the close of its connection was not passed on.
+        A request sent while the daemon closed the connection was not
+        forwarded.
         """
-        if asked.id in self._runs and not self._was_harmed(asked):
-            self._break('nothing is cut', asked.id, str(asked))
+        if record.id in self._instances_by_request and not self._was_disrupted(
+            record
+        ):
+            self._report_violation('nothing is cut', record.id, str(record))
 
-    def _look_at_deadly(self) -> None:
-        """A request that crashes upstreams is stopped after three crashes."""
-        late = self._deadly.find_late()
-        if len(late) > MOST_LATE:
-            self._break(
-                'a deadly request is stopped', 'deadly', ', '.join(late)
+    def _check_deadly_request(self) -> None:
+        """Check that the deadly request is blocked after three crashes."""
+        late_executions = self._deadly_request.find_late_executions()
+        if len(late_executions) > MAX_LATE_EXECUTIONS:
+            self._report_violation(
+                'a deadly request is stopped',
+                'deadly',
+                ', '.join(late_executions),
             )
 
-    def _was_harmed(self, asked: Asked) -> bool:
-        node = self._node_of(asked)
-        return node.is_paused or node.harmed_at >= asked.sent_at
+    def _was_disrupted(self, record: RequestRecord) -> bool:
+        node = self._get_node(record)
+        return node.is_paused or node.last_disrupted_at >= record.sent_at
 
-    def _node_of(self, asked: Asked) -> Node:
-        return next(n for n in self._site.nodes if n.name == asked.vm)
+    def _get_node(self, record: RequestRecord) -> Node:
+        return next(n for n in self._cluster.nodes if n.name == record.vm)
 
-    def _look_at_version(self, asked: Asked) -> None:
-        name = asked.path.strip('/')
+    def _check_configuration(self, record: RequestRecord) -> None:
+        name = record.path.strip('/')
         is_probe = name.startswith('v')
         if not is_probe:
-            if asked.status == _NOT_FOUND:
-                self._break('no false 404', asked.id, str(asked))
+            if record.status == _NOT_FOUND:
+                self._report_violation('no false 404', record.id, str(record))
             return
         version = int(name[1:])
-        life = self._lives[asked.vm, asked.life]
-        if asked.status == _OK and version > life.newest:
-            life.newest = version
-            life.seen_at = asked.ended_at
-        if asked.status != _NOT_FOUND or self._is_dropped(version, asked):
+        observed = self._observed_configurations[record.vm, record.daemon_start]
+        if record.status == _OK and version > observed.newest_version:
+            observed.newest_version = version
+            observed.seen_at = record.ended_at
+        if record.status != _NOT_FOUND or self._is_route_removed(
+            version, record
+        ):
             return
-        if life.newest >= version and asked.sent_at > life.seen_at:
-            self._break('never back', asked.id, f'{asked} after {life}')
-        due = self._site.published[version] + APPLY_LIMIT
-        since = asked.sent_at - _SETTLING
-        if asked.sent_at > due and self._site.is_calm(
-            self._node_of(asked),
-            min(since, due - APPLY_LIMIT),
+        if (
+            observed.newest_version >= version
+            and record.sent_at > observed.seen_at
         ):
-            self._break('in force in time', asked.id, str(asked))
+            self._report_violation(
+                'never back', record.id, f'{record} after {observed}'
+            )
+        due = self._cluster.published[version] + APPLY_LIMIT_S
+        since = record.sent_at - _SETTLING_TIME_S
+        if record.sent_at > due and self._cluster.is_fault_free(
+            self._get_node(record),
+            min(since, due - APPLY_LIMIT_S),
+        ):
+            self._report_violation('in force in time', record.id, str(record))
 
-    def _is_dropped(self, version: int, asked: Asked) -> bool:
-        """Whether a version published meanwhile lacks the route."""
-        newest = max(
+    def _is_route_removed(self, version: int, record: RequestRecord) -> bool:
+        """Return whether a newer published version no longer has the route."""
+        newest_version = max(
             number
-            for number, at in self._site.published.items()
-            if at <= asked.ended_at
+            for number, at in self._cluster.published.items()
+            if at <= record.ended_at
         )
-        return version <= newest - KEPT
+        return version <= newest_version - ROUTE_VERSIONS_KEPT
 
-    def _look_at_process(self, node: Node) -> None:
+    def _check_process(self, node: Node) -> None:
         if node.has_ended and not node.is_expected_to_end:
-            self._break(
+            self._report_violation(
                 'a daemon ends only when told',
-                f'{node.name}/{node.lives}',
+                f'{node.name}/{node.daemon_starts}',
                 f'{node.name} ended by itself',
             )
 
-    def _look_at_verdicts(self) -> None:
-        """Each order has one verdict at most, and a bad version not done."""
-        settled: dict[int, str] = {}
-        for told in read_statuses(self._site.store, SERVICE):
-            before = settled.get(told.order)
-            if before in _FINAL and told.state != before:
-                self._break(
+    def _check_statuses(self) -> None:
+        """Check that orders have one verdict and bad versions fail."""
+        states: dict[int, str] = {}
+        for status in read_statuses(self._cluster.store, SERVICE):
+            previous_state = states.get(status.order)
+            if (
+                previous_state in _FINAL_STATES
+                and status.state != previous_state
+            ):
+                self._report_violation(
                     'one verdict',
-                    str(told.order),
-                    f'{before}, then {told}',
+                    str(status.order),
+                    f'{previous_state}, then {status}',
                 )
-            settled[told.order] = told.state
-            self._look_at_verdict(told)
+            states[status.order] = status.state
+            self._check_status(status)
 
-    def _look_at_verdict(self, told: RolloutStatus) -> None:
-        order = self._site.orders.get(told.order)
+    def _check_status(self, status: RolloutStatus) -> None:
+        order = self._cluster.orders.get(status.order)
         if order is None:
             return
-        if told.state == COMPLETE and order.is_bad:
-            self._break('bad is not done', str(told.order), str(order))
-        if told.state == ROLLED_BACK:
+        if status.state == COMPLETE and order.is_bad:
+            self._report_violation(
+                'bad is not done', str(status.order), str(order)
+            )
+        if status.state == ROLLED_BACK:
             now = trio.current_time()
-            self._taken_back.setdefault(order.version, now)
+            self._rolled_back_at.setdefault(order.version, now)
 
     def check_logs(self) -> None:
-        """No daemon has met a broken invariant."""
-        for node in self._site.nodes:
+        """Check that no daemon logged a traceback of a violated invariant."""
+        for node in self._cluster.nodes:
             text = node.log.read_text(errors='replace')
-            place = text.find('Traceback (most recent call last)')
-            if place >= 0:
-                self._break(
+            offset = text.find('Traceback (most recent call last)')
+            if offset >= 0:
+                self._report_violation(
                     'no invariant breaks',
                     node.name,
-                    text[max(place, len(text) - _SHOWN) :],
+                    text[max(offset, len(text) - _MAX_TRACEBACK_CHARS) :],
                 )
--- a/libs/soak/src/verbenamill_soak/lag.py
+++ b/libs/soak/src/verbenamill_soak/lag.py
@@ -1,25 +1,25 @@
-"""How late the soak's own process is.
+"""Measures the event loop lag of the soak process.
 
-One process serves the store, the upstreams, the relays and all callers. Where
-it gets no processor, daemons are served late, and times that callers note are
-longer than what they were made to wait.
+One process serves the store, the upstreams, the relays and all callers. When
+this process gets no CPU time, daemons are served late, and callers record
+longer times than the daemons made them wait.
 """
 
 import trio
 
 from verbenamill_soak.timeline import Timeline
 
-#: Time between two looks, in seconds.
-_PERIOD = 0.05
-#: A lag that is worth a line, in seconds.
-_MUCH = 0.25
+#: Time between two measurements.
+_CHECK_PERIOD_S = 0.05
+#: Minimum lag that is added to the timeline.
+_REPORTED_LAG_S = 0.25
 
 
-class Lag:
-    """Notes when a sleep in this process ends late.
+class EventLoopLag:
+    """Measures how late sleeps in this process end.
 
-    :ivar worst: longest time that one ended late, in seconds.
-    :ivar total: the sum of all those times, in seconds.
+    :ivar worst: the longest lag, in seconds.
+    :ivar total: the sum of all lags, in seconds.
     """
 
     def __init__(self, timeline: Timeline) -> None:
@@ -28,14 +28,14 @@
         self.total = float(0)
 
     async def watch(self) -> None:
-        """Look until cancelled."""
+        """Measure the lag periodically until cancelled."""
         while True:
-            due = trio.current_time() + _PERIOD
+            due = trio.current_time() + _CHECK_PERIOD_S
             await trio.sleep_until(due)
-            self._note(trio.current_time() - due)
+            self._add_lag(trio.current_time() - due)
 
-    def _note(self, late: float) -> None:
-        self.worst = max(self.worst, late)
-        self.total += late
-        if late >= _MUCH:
-            self._timeline.tell(f'the soak itself is {late:.2f} s late')
+    def _add_lag(self, lag: float) -> None:
+        self.worst = max(self.worst, lag)
+        self.total += lag
+        if lag >= _REPORTED_LAG_S:
+            self._timeline.add_event(f'the soak itself is {lag:.2f} s late')
--- a/libs/soak/src/verbenamill_soak/launch.py
+++ b/libs/soak/src/verbenamill_soak/launch.py
@@ -1,4 +1,4 @@
-"""Starts the real daemon, with its clock set back where that is asked."""
+"""Starts the daemon, optionally with its wall clock set back."""
 
 import sys
 from datetime import UTC, datetime, timedelta
@@ -7,16 +7,16 @@
 
 
 def main() -> int:
-    """Run the daemon on a clock that is behind by the first argument.
+    """Run the daemon on a clock set back by the first argument, in seconds.
 
-    Setting back the clock of the machine needs rights that a soak lacks;
-    the daemon takes its wall clock from one function.
+    A soak run lacks the privileges to set the system clock. The daemon reads
+    its wall clock from a single function, which is replaced here.
     """
     ignore_hangups()
     from verbenamill_node import startup  # noqa: PLC0415
 
-    behind = timedelta(seconds=float(sys.argv.pop(1)))
-    startup._now = lambda: datetime.now(UTC) - behind  # noqa: SLF001
+    clock_lag = timedelta(seconds=float(sys.argv.pop(1)))
+    startup._now = lambda: datetime.now(UTC) - clock_lag  # noqa: SLF001
     return startup.main()
 
 
--- a/libs/soak/src/verbenamill_soak/main.py
+++ b/libs/soak/src/verbenamill_soak/main.py
@@ -1,4 +1,4 @@
-"""``verbenamill-soak``: real daemons under random faults."""
+"""``verbenamill-soak``: runs daemons under random faults."""
 
 import sys
 from pathlib import Path
@@ -9,69 +9,71 @@
 import trio
 import typer
 
-from verbenamill_soak.run import Report, Wanted, run
+from verbenamill_soak.run import Report, RunOptions, run
 
-#: Moments shown before the first broken promise.
-_SHOWN = 25
-_FRESH = 1 << 32
+#: Maximum number of events printed before the first violation.
+_MAX_EVENTS_SHOWN = 25
+_MAX_RANDOM_SEED = 1 << 32
 
 
 def _soak(
     seed: Annotated[
         int,
-        typer.Option(help='Seed of the first run; 0 draws one.'),
+        typer.Option(help='Seed of the first run; 0 chooses a random seed.'),
     ] = 0,
     runs: Annotated[
         int,
-        typer.Option(min=1, help='Runs; each has the next seed.'),
+        typer.Option(min=1, help='Number of runs; each uses the next seed.'),
     ] = 1,
     minutes: Annotated[
         float,
-        typer.Option(min=0.05, help='Time with troubles, for each run.'),
+        typer.Option(min=0.05, help='Duration of the faults in each run.'),
     ] = 0.5,
     processes: Annotated[
         int,
-        typer.Option(min=2, max=200, help='Daemons.'),
+        typer.Option(min=2, max=200, help='Number of daemons.'),
     ] = 5,
     report: Annotated[
         Path | None,
-        typer.Option(help='Folder for reports and for logs of broken runs.'),
+        typer.Option(help='Directory for the reports and logs of the runs.'),
     ] = None,
 ) -> None:
-    """Run daemons under random faults and check what they promise."""
-    first = seed or SystemRandom().randrange(1, _FRESH)
+    """Run daemons under random faults and check their guarantees."""
+    first_seed = seed or SystemRandom().randrange(1, _MAX_RANDOM_SEED)
     failed = 0
-    for number in range(first, first + runs):
-        wanted = Wanted(seed=number, vms=processes, seconds=minutes * 60)
-        folder = None if report is None else report / str(number)
-        found = trio.run(run, wanted, folder)
-        failed += bool(found.broken)
-        _tell(found)
+    for seed_number in range(first_seed, first_seed + runs):
+        options = RunOptions(
+            seed=seed_number, vms=processes, seconds=minutes * 60
+        )
+        folder = None if report is None else report / str(seed_number)
+        result = trio.run(run, options, folder)
+        failed += bool(result.broken)
+        _print_report(result)
         if folder is not None:
-            data = msgspec.json.format(msgspec.json.encode(found))
+            data = msgspec.json.format(msgspec.json.encode(result))
             (folder / 'report.json').write_bytes(data)
     sys.exit(1 if failed else 0)
 
 
-def _tell(found: Report) -> None:
-    wanted = found.wanted
+def _print_report(result: Report) -> None:
+    options = result.wanted
     print(
-        f'seed {wanted.seed}, {wanted.vms} daemons, {wanted.seconds:g} s: '
-        f'{found.verdict}; {found.requests}; '
-        f'the soak itself was up to {found.worst_lag:.2f} s late, '
-        f'{found.lag:.2f} s in all',
+        f'seed {options.seed}, {options.vms} daemons, {options.seconds:g} s: '
+        f'{result.verdict}; {result.requests}; '
+        f'the soak itself was up to {result.worst_lag:.2f} s late, '
+        f'{result.lag:.2f} s in all',
         flush=True,
     )
-    if not found.broken:
+    if not result.broken:
         return
-    first = found.broken[0]
-    before = [one for one in found.moments if one.at <= first.at]
-    for moment in before[-_SHOWN:]:
-        print(f'  {moment.at:8.3f} s  {moment.text}')
-    for broken in found.broken[1:]:
-        print(f'  then, at {broken.at:.3f} s: {broken.promise}')
+    first = result.broken[0]
+    before = [one for one in result.moments if one.at <= first.at]
+    for event in before[-_MAX_EVENTS_SHOWN:]:
+        print(f'  {event.at:8.3f} s  {event.text}')
+    for violation in result.broken[1:]:
+        print(f'  then, at {violation.at:.3f} s: {violation.promise}')
 
 
 def main() -> None:
-    """Entry point of ``verbenamill-soak``."""
+    """Run the ``verbenamill-soak`` command."""
     typer.run(_soak)
--- a/libs/soak/src/verbenamill_soak/nodes.py
+++ b/libs/soak/src/verbenamill_soak/nodes.py
@@ -1,4 +1,4 @@
-"""One VM of a run: a real daemon, its upstream, and relays around them."""
+"""A VM of a run: a daemon process, its upstream and their relays."""
 
 import os
 import signal
@@ -12,25 +12,25 @@
 
 from verbenamill_platform_standins.callers import READINESS_PATH
 from verbenamill_platform_standins.ports import find_ports
-from verbenamill_soak.relays import Switch, TcpRelay, UdpRelay
+from verbenamill_soak.relays import LinkControl, TcpRelay, UdpRelay
 from verbenamill_soak.timeline import Timeline
-from verbenamill_soak.upstreams import DRAIN_TIME, WORK, Upstream
-
-_HOST = '127.0.0.1'
-#: Time for a killed process to be gone, in seconds.
-_END_LIMIT = 5.0
-#: How often an upstream beats, in seconds.
-BEAT_PERIOD = 0.5
-#: Longest wait for an acknowledgement, in seconds.
-_ACK_TIMEOUT = 1.0
-#: How much longer it listens, so that late requests are seen, in seconds.
-_STAYS_ON = 0.5
-#: Time for a planned stop, in milliseconds.
-GRACE = 6000
-#: Signals that a process cannot answer.
-_HARMFUL = (signal.SIGKILL, signal.SIGSTOP, signal.SIGCONT)
-#: Signals that end it.
-_FATAL = (signal.SIGKILL, signal.SIGTERM)
+from verbenamill_soak.upstreams import DRAIN_TIME_S, SERVICE_TIME_S, Upstream
+
+_LOOPBACK = '127.0.0.1'
+#: Time to wait for a killed process to exit.
+_KILL_TIMEOUT_S = 5.0
+#: Time between two heartbeats of an upstream.
+HEARTBEAT_PERIOD_S = 0.5
+#: Maximum time to wait for an acknowledgement.
+_ACK_TIMEOUT_S = 1.0
+#: Time for which an upstream listens after draining, to record late requests.
+_EXTRA_LISTEN_S = 0.5
+#: Time that a daemon has for a planned stop.
+STOP_GRACE_MS = 6000
+#: Signals that a process cannot handle.
+_DISRUPTIVE_SIGNALS = (signal.SIGKILL, signal.SIGSTOP, signal.SIGCONT)
+#: Signals that terminate the daemon.
+_TERMINATING_SIGNALS = (signal.SIGKILL, signal.SIGTERM)
 _SETTINGS = """
 [vm]
 id = "{vm}"
@@ -55,13 +55,13 @@
 
 
 class Node:
-    """One VM.
+    """A VM with its daemon, upstreams and relays.
 
-    :ivar upstreams: all that have been, the newest last.
-    :ivar lives: starts of the daemon.
-    :ivar starting: held by whoever ends and starts the daemon.
-    :ivar holds: troubles that hold what is new on its link.
-    :ivar harmed_at: when its process was last killed or paused.
+    :ivar upstreams: all upstreams that the VM has had, the newest last.
+    :ivar daemon_starts: number of starts of the daemon.
+    :ivar lifecycle_lock: held by the task that stops and restarts the daemon.
+    :ivar active_holds: number of faults that hold the peer link.
+    :ivar last_disrupted_at: when the daemon was last killed, paused or resumed.
     """
 
     def __init__(
@@ -77,32 +77,36 @@
         self.zone = zone
         self.ports = find_ports(5)
         self.upstreams: list[Upstream] = []
-        self.lives = 0
+        self.daemon_starts = 0
         self.is_paused = False
-        self.harmed_at = float('-inf')
-        self.starting = trio.Lock()
-        self._troubles = 0
-        self._places = 1000
-        self.holds = 0
-        self._is_told_to_end = False
-        self._calm_at = float('-inf')
+        self.last_disrupted_at = float('-inf')
+        self.lifecycle_lock = trio.Lock()
+        self._active_faults = 0
+        self._last_caller_index = 1000
+        self.active_holds = 0
+        self._is_termination_requested = False
+        self._last_fault_ended_at = float('-inf')
         self.log = folder / f'{name}.log'
         self._settings = folder / f'{name}.toml'
         self._nursery = nursery
         self._timeline = timeline
         self._process: trio.Process | None = None
-        self._serving: dict[str, trio.CancelScope] = {}
-        self.peers = Switch()
-        self.to_store = Switch()
-        self.to_upstream = Switch()
-        self._calls = TcpRelay(self.peers, f'{_HOST}:{self.ports[1]}')
-        self._datagrams = UdpRelay(self.peers, f'{_HOST}:{self.ports[2]}')
-        self._store = TcpRelay(self.to_store)
-        self._upstream = TcpRelay(self.to_upstream)
+        self._upstream_scopes: dict[str, trio.CancelScope] = {}
+        self.peer_link = LinkControl()
+        self.store_link = LinkControl()
+        self.upstream_link = LinkControl()
+        self._call_relay = TcpRelay(
+            self.peer_link, f'{_LOOPBACK}:{self.ports[1]}'
+        )
+        self._gossip_relay = UdpRelay(
+            self.peer_link, f'{_LOOPBACK}:{self.ports[2]}'
+        )
+        self._store_relay = TcpRelay(self.store_link)
+        self._upstream_relay = TcpRelay(self.upstream_link)
 
     @property
     def upstream(self) -> Upstream:
-        """The newest upstream."""
+        """The upstream that was started last."""
         return self.upstreams[-1]
 
     @property
@@ -123,122 +127,134 @@
 
     @property
     def is_expected_to_end(self) -> bool:
-        """Whether a signal was sent that ends the daemon."""
-        return self._is_told_to_end
+        """Whether a signal that terminates the daemon was sent."""
+        return self._is_termination_requested
 
-    def next_place(self) -> int:
-        """Number for a further caller, so that its requests have own ids."""
-        self._places += 1
-        return self._places
+    def next_caller_index(self) -> int:
+        """Return a new caller number, so that request IDs are unique."""
+        self._last_caller_index += 1
+        return self._last_caller_index
 
     def is_serving(self, upstream: Upstream) -> bool:
-        """Whether an upstream runs and has not begun to leave."""
+        """Return whether an upstream runs and has not begun to leave."""
         return not upstream.is_leaving
 
-    def is_calm(self, since: float) -> bool:
-        """Whether no trouble has touched it since a moment."""
-        return not self._troubles and self._calm_at <= since
+    def is_fault_free(self, since: float) -> bool:
+        """Return whether the VM has had no fault since a time."""
+        return not self._active_faults and self._last_fault_ended_at <= since
 
     @contextmanager
-    def troubled(self) -> Iterator[None]:
-        """A trouble touches it meanwhile."""
-        self._troubles += 1
+    def fault_active(self) -> Iterator[None]:
+        """Mark a fault as active within the context."""
+        self._active_faults += 1
         try:
             yield
         finally:
-            self._troubles -= 1
-            self._calm_at = trio.current_time()
+            self._active_faults -= 1
+            self._last_fault_ended_at = trio.current_time()
 
     async def open(self, store: str) -> None:
         """Start the relays, the first upstream and the daemon."""
-        self._store.target = store
-        self._datagrams.bind()
-        self._nursery.start_soon(self._datagrams.serve)
-        for relay in (self._calls, self._store, self._upstream):
+        self._store_relay.target = store
+        self._gossip_relay.bind()
+        self._nursery.start_soon(self._gossip_relay.serve)
+        for relay in (
+            self._call_relay,
+            self._store_relay,
+            self._upstream_relay,
+        ):
             await self._nursery.start(relay.serve)
         self._settings.write_text(
             _SETTINGS.format(
                 *self.ports,
                 vm=self.name,
                 zone=self.zone,
-                calls=self._calls.address,
-                datagrams=self._datagrams.address,
-                upstream=self._upstream.address,
-                store=self._store.address,
-                grace=GRACE,
+                calls=self._call_relay.address,
+                datagrams=self._gossip_relay.address,
+                upstream=self._upstream_relay.address,
+                store=self._store_relay.address,
+                grace=STOP_GRACE_MS,
             ),
         )
         await self.add_upstream('v1')
         await self.start()
 
-    async def add_upstream(self, version: str, *, fails: bool = False) -> None:
-        """Start an upstream at the VM's one address."""
-        made = Upstream(
+    async def add_upstream(
+        self, version: str, *, fails_requests: bool = False
+    ) -> None:
+        """Start an upstream behind the upstream address of the VM."""
+        upstream = Upstream(
             instance=f'i-{self.name}-{len(self.upstreams)}',
             zone=self.zone,
             version=version,
             born=1000 * (1 + len(self.upstreams)),
-            service_time=WORK,
+            service_time=SERVICE_TIME_S,
+        )
+        upstream.fails_requests = fails_requests
+        upstream.script = upstream.script_response
+        upstream.crashes_on = upstream.crashes_on_request
+        scope = await self._nursery.start(self._serve_upstream, upstream)
+        self._upstream_scopes[upstream.name] = scope
+        self._upstream_relay.target = upstream.address
+        # The daemon connects to the upstream through the relay.
+        upstream.address = self._upstream_relay.address
+        self.upstreams.append(upstream)
+        self._nursery.start_soon(self._send_heartbeats, upstream)
+        self._timeline.add_event(
+            f'{self.name}: {upstream.instance} {version} starts'
         )
-        made.fails = fails
-        made.script = made.judge
-        made.crashes_on = made.dies_of
-        scope = await self._nursery.start(self._serve, made)
-        self._serving[made.name] = scope
-        self._upstream.target = made.address
-        # The daemon reaches it through the relay.
-        made.address = self._upstream.address
-        self.upstreams.append(made)
-        self._nursery.start_soon(self._beat, made)
-        self._timeline.tell(f'{self.name}: {made.instance} {version} starts')
 
     def end_upstream(self, upstream: Upstream) -> None:
-        """End an upstream at once."""
+        """Terminate an upstream immediately."""
         upstream.is_leaving = True
-        if upstream.acked_at is None:
-            upstream.died_at = trio.current_time()
-        self._serving.pop(upstream.name).cancel()
+        if upstream.leave_acknowledged_at is None:
+            upstream.terminated_at = trio.current_time()
+        self._upstream_scopes.pop(upstream.name).cancel()
 
-    async def leave(self, upstream: Upstream, *, is_told: bool) -> bool:
-        """Have an upstream leave; tells whether that was acknowledged.
+    async def remove_upstream(
+        self, upstream: Upstream, *, announces_drain: bool
+    ) -> bool:
+        """Let an upstream leave; return whether the leave was acknowledged.
 
-        :param is_told: whether it says before that it drains.
+        :param announces_drain: whether it first announces that it drains.
         """
         upstream.is_leaving = True
         message = (
-            upstream.heartbeat('draining') if is_told else upstream.leave()
+            upstream.heartbeat('draining')
+            if announces_drain
+            else upstream.leave()
         )
         for _ in range(6):
-            if await self._announce(message):
-                upstream.acked_at = trio.current_time()
-                self._timeline.tell(
+            if await self._send_announcement(message):
+                upstream.leave_acknowledged_at = trio.current_time()
+                self._timeline.add_event(
                     f'{self.name}: {upstream.instance} leaves, acknowledged',
                 )
                 break
-            await trio.sleep(BEAT_PERIOD)
-        await trio.sleep(DRAIN_TIME + _STAYS_ON)
-        if is_told:
-            await self._announce(upstream.leave())
+            await trio.sleep(HEARTBEAT_PERIOD_S)
+        await trio.sleep(DRAIN_TIME_S + _EXTRA_LISTEN_S)
+        if announces_drain:
+            await self._send_announcement(upstream.leave())
         self.end_upstream(upstream)
-        return upstream.acked_at is not None
+        return upstream.leave_acknowledged_at is not None
 
     async def start(
         self,
         *,
-        clock: float = 0,
+        clock_lag: float = 0,
         output: int | None = None,
     ) -> None:
         """Start the daemon.
 
-        :param clock: seconds that its clock is set back.
-        :param output: descriptor for its log in place of a file.
+        :param clock_lag: seconds by which its clock is set back.
+        :param output: file descriptor for its log, instead of the log file.
         """
-        self.lives += 1
+        self.daemon_starts += 1
         command = [
             sys.executable,
             '-m',
             'verbenamill_soak.launch',
-            str(clock),
+            str(clock_lag),
             str(self._settings),
         ]
         with self.log.open('ab') as log:
@@ -249,38 +265,38 @@
                 stdin=None,
                 env=os.environ | {'PYTHONWARNINGS': 'ignore'},
             )
-        self._is_told_to_end = False
-
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal to the daemon, if it runs."""
-        if number in _FATAL:
-            self._is_told_to_end = True
-        if number in _HARMFUL:
-            self.harmed_at = trio.current_time()
+        self._is_termination_requested = False
+
+    def signal_daemon(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the daemon if it runs."""
+        if signal_number in _TERMINATING_SIGNALS:
+            self._is_termination_requested = True
+        if signal_number in _DISRUPTIVE_SIGNALS:
+            self.last_disrupted_at = trio.current_time()
         process = self._process
         if process is not None and process.returncode is None:
-            process.send_signal(number)
+            process.send_signal(signal_number)
 
-    async def wait(self, seconds: float) -> int | None:
-        """Wait for the daemon's end; its exit code, or ``None``."""
+    async def wait_for_exit(self, timeout: float) -> int | None:
+        """Wait for the daemon to exit; return its exit code or ``None``."""
         process = self._process
         if process is None:
             return None
-        with trio.move_on_after(seconds):
+        with trio.move_on_after(timeout):
             await process.wait()
         return process.returncode
 
-    async def end(self) -> None:
-        """End the daemon, whatever state it is in."""
-        self.send(signal.SIGKILL)
-        await self.wait(_END_LIMIT)
+    async def kill(self) -> None:
+        """Kill the daemon in any state."""
+        self.signal_daemon(signal.SIGKILL)
+        await self.wait_for_exit(_KILL_TIMEOUT_S)
 
     async def is_ready(self) -> bool:
-        """Whether the daemon says that callers may be sent here."""
-        status = await ask(self.ports[4], 'GET', READINESS_PATH, b'')
+        """Return whether the daemon reports that it is ready for callers."""
+        status = await request_status(self.ports[4], 'GET', READINESS_PATH, b'')
         return status == 200
 
-    async def _serve(
+    async def _serve_upstream(
         self,
         upstream: Upstream,
         task_status: trio.TaskStatus[trio.CancelScope],
@@ -290,28 +306,32 @@
                 await nursery.start(upstream.serve_with_restarts)
                 task_status.started(scope)
 
-    async def _beat(self, upstream: Upstream) -> None:
+    async def _send_heartbeats(self, upstream: Upstream) -> None:
         while self.is_serving(upstream):
             if not upstream.is_down:
-                await self._announce(upstream.heartbeat())
-            await trio.sleep(BEAT_PERIOD)
+                await self._send_announcement(upstream.heartbeat())
+            await trio.sleep(HEARTBEAT_PERIOD_S)
 
-    async def _announce(self, message: tuple[str, bytes]) -> bool:
+    async def _send_announcement(self, message: tuple[str, bytes]) -> bool:
         target, body = message
-        with trio.move_on_after(_ACK_TIMEOUT):
-            return await ask(self.ports[3], 'POST', target, body) == 200
+        with trio.move_on_after(_ACK_TIMEOUT_S):
+            return (
+                await request_status(self.ports[3], 'POST', target, body) == 200
+            )
         return False
 
 
-async def ask(port: int, method: str, target: str, body: bytes) -> int:
-    """Ask a daemon on a new connection; 0 if there is no answer."""
+async def request_status(
+    port: int, method: str, target: str, body: bytes
+) -> int:
+    """Send a request on a new connection and return the status, or 0."""
     try:
-        stream = await trio.open_tcp_stream(_HOST, port)
+        stream = await trio.open_tcp_stream(_LOOPBACK, port)
     except OSError:
         return 0
     connection = h11.Connection(h11.CLIENT)
     headers = [
-        ('Host', _HOST),
+        ('Host', _LOOPBACK),
         ('Content-Length', str(len(body))),
         ('Connection', 'close'),
     ]
--- a/libs/soak/src/verbenamill_soak/pipelining.py
+++ b/libs/soak/src/verbenamill_soak/pipelining.py
@@ -1,4 +1,4 @@
-"""Callers that have a request in hand until the daemon closes."""
+"""Callers that pipeline requests until the daemon closes the connection."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,110 +7,117 @@
 import trio
 
 from verbenamill_platform_standins.callers import request_headers
-from verbenamill_soak.responses import Answer, Answers
 from verbenamill_soak.callers import (
-    DEADLINE,
-    HOST,
-    PATIENCE,
-    PAUSE,
-    SITE,
-    Asked,
+    DEADLINE_S,
+    LATE_RESPONSE_WAIT_S,
+    LOOPBACK,
+    MEAN_PAUSE_S,
+    SERVICE_HOST,
     Caller,
-    Ending,
+    Outcome,
+    RequestRecord,
 )
+from verbenamill_soak.responses import Response, ResponseParser
 
-#: Time between two requests, in seconds: shorter than any upstream works, so
-#: that the next one comes before the answer to the last.
-_PERIOD = 0.015
-#: Requests under way at once.
-_MOST = 2
+#: Time between two requests: shorter than the service time of any upstream, so
+#: that the next request is sent before the response to the last one.
+_SEND_PERIOD_S = 0.015
+#: Maximum number of requests without a response on one connection.
+_MAX_PENDING = 2
 _READ_SIZE = 65_536
-#: Requests under way on a connection, the oldest first.
-InHand = deque[Asked]
+#: Requests without a response on a connection, the oldest first.
+PendingRequests = deque[RequestRecord]
 
 
 class PipeliningCaller(Caller):
-    """One caller that sends its next request before the last is answered."""
+    """A caller that sends the next request before the last response."""
 
     async def run(self, versions: Callable[[], list[int]]) -> None:
-        """Call until cancelled.
+        """Send requests until cancelled.
 
-        :param versions: not looked at; its one route is in all of them.
+        :param versions: unused, because all versions contain the one route.
         """
         while True:
-            await trio.sleep(self._random.expovariate(1 / PAUSE))
+            await trio.sleep(self._random.expovariate(1 / MEAN_PAUSE_S))
             try:
                 self._stream = await trio.open_tcp_stream(
-                    HOST,
+                    LOOPBACK,
                     self._node.ports[0],
                 )
             except OSError:
                 continue
-            await self._talk(self._stream)
-            await self._drop()
+            await self._run_connection(self._stream)
+            await self._drop_connection()
 
-    async def _talk(self, stream: trio.SocketStream) -> None:
-        """Have requests in hand until the daemon closes the connection."""
-        in_hand: InHand = deque()
+    async def _run_connection(self, stream: trio.SocketStream) -> None:
+        """Keep requests pending until the daemon closes the connection."""
+        pending: PendingRequests = deque()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._send, stream, in_hand)
-            ending = await _read(stream, in_hand)
+            nursery.start_soon(self._send_requests, stream, pending)
+            outcome = await _read_responses(stream, pending)
             nursery.cancel_scope.cancel()
-        for asked in in_hand:
-            _end(asked, ending)
+        for record in pending:
+            _finish(record, outcome)
 
-    async def _send(self, stream: trio.SocketStream, in_hand: InHand) -> None:
+    async def _send_requests(
+        self, stream: trio.SocketStream, pending: PendingRequests
+    ) -> None:
         while True:
-            if len(in_hand) < _MOST:
-                asked = self._note('/lookup/', is_fee=False)
-                in_hand.append(asked)
+            if len(pending) < _MAX_PENDING:
+                record = self._add_record('/lookup/', is_fee=False)
+                pending.append(record)
                 try:
-                    await stream.send_all(_encode(asked))
+                    await stream.send_all(_encode_request(record))
                 except trio.BrokenResourceError:
-                    # What was answered before the close can still be read.
+                    # Responses sent before the close can still be read.
                     return
-            await trio.sleep(_PERIOD)
+            await trio.sleep(_SEND_PERIOD_S)
 
 
-async def _read(stream: trio.SocketStream, in_hand: InHand) -> Ending:
-    """Read answers; tells how those end that are in hand at the last."""
-    answers = Answers()
+async def _read_responses(
+    stream: trio.SocketStream, pending: PendingRequests
+) -> Outcome:
+    """Read responses until the connection ends.
+
+    Return the outcome of the requests that are still pending.
+    """
+    parser = ResponseParser()
     while True:
         data = None
         try:
-            with trio.move_on_after(DEADLINE + PATIENCE):
+            with trio.move_on_after(DEADLINE_S + LATE_RESPONSE_WAIT_S):
                 data = await stream.receive_some(_READ_SIZE)
-            found = answers.feed(bytes(data or b''))
+            responses = parser.feed(bytes(data or b''))
         except (trio.BrokenResourceError, httptools.HttpParserError):
-            return Ending.CUT
-        if data is None and in_hand:
-            _end(in_hand.popleft(), Ending.NO_ANSWER)
-            return Ending.UNSENT
-        if not data or len(found) > len(in_hand):
-            return Ending.CUT
-        for answer in found:
-            _answer(in_hand.popleft(), answer)
-            if answer.is_last:
-                return Ending.UNSENT
-
-
-def _encode(asked: Asked) -> bytes:
-    headers = request_headers(asked.id, deadline=DEADLINE)
+            return Outcome.CUT
+        if data is None and pending:
+            _finish(pending.popleft(), Outcome.NO_ANSWER)
+            return Outcome.UNSENT
+        if not data or len(responses) > len(pending):
+            return Outcome.CUT
+        for response in responses:
+            _complete(pending.popleft(), response)
+            if response.is_last:
+                return Outcome.UNSENT
+
+
+def _encode_request(record: RequestRecord) -> bytes:
+    headers = request_headers(record.id, deadline=DEADLINE_S)
     lines = [
-        f'GET {asked.target} HTTP/1.1',
-        f'Host: {SITE}',
-        *(f'{name}: {told}' for name, told in headers),
+        f'GET {record.target} HTTP/1.1',
+        f'Host: {SERVICE_HOST}',
+        *(f'{name}: {header_value}' for name, header_value in headers),
     ]
     return '\r\n'.join((*lines, '', '')).encode()
 
 
-def _answer(asked: Asked, answer: Answer) -> None:
-    asked.status = answer.status
-    asked.seal = answer.seal
-    asked.body = answer.body
-    _end(asked, Ending.ANSWERED)
+def _complete(record: RequestRecord, response: Response) -> None:
+    record.status = response.status
+    record.seal = response.seal
+    record.body = response.body
+    _finish(record, Outcome.ANSWERED)
 
 
-def _end(asked: Asked, ending: Ending) -> None:
-    asked.ending = ending
-    asked.ended_at = trio.current_time()
+def _finish(record: RequestRecord, outcome: Outcome) -> None:
+    record.outcome = outcome
+    record.ended_at = trio.current_time()
--- a/libs/soak/src/verbenamill_soak/plan.py
+++ b/libs/soak/src/verbenamill_soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a run, drawn from a seed before anything starts."""
+"""Generates the faults of a run from its seed, before the run starts."""
 
 from collections.abc import Iterator
 from enum import Enum, unique
@@ -8,24 +8,25 @@
 
 
 @unique
-class Kind(Enum):
-    """A trouble that comes from outside the daemons.
+class FaultKind(Enum):
+    """A fault that is injected from outside the daemons.
 
-    :cvar STOP: SIGTERM, and a new start after the end.
-    :cvar CLOCK: killed and started with a clock that is set back.
+    :cvar STOP: the daemon gets SIGTERM and is restarted after its exit.
+    :cvar CLOCK: the daemon is killed and restarted with its clock set back.
     :cvar LATE_PEERS: datagrams and new connections to a daemon are held, while
-        open connections still work and its upstream works for long.
+        open connections still work and its upstream takes long per request.
     :cvar DRAIN: the upstream drains, leaves and is replaced.
-    :cvar UNTOLD: it leaves without saying before that it drains.
-    :cvar REPLACE: the upstream dies and another one takes its address.
-    :cvar CRASH: the upstream crashes of no request's fault, and starts again.
-    :cvar DEADLY: a request that crashes each upstream that runs it comes to
-        the VM's daemon.
-    :cvar LIMIT: the upstream names a limit in its answers, a smaller one later,
-        and then none.
-    :cvar LEAVES_IN_BAND: its answers say that it leaves, its heartbeats that
-        it is ready; then it ends and is replaced.
-    :cvar STORE_LOSES: writes take effect and their answers are lost.
+    :cvar UNTOLD: the upstream leaves without announcing that it drains.
+    :cvar REPLACE: the upstream ends abruptly and another takes its address.
+    :cvar CRASH: the upstream crashes and restarts, independently of requests.
+    :cvar DEADLY: the daemon receives a request that crashes every upstream
+        that executes it.
+    :cvar LIMIT: the upstream announces a limit in its responses, later a lower
+        one, and then none.
+    :cvar LEAVES_IN_BAND: the responses of the upstream announce that it leaves
+        while its heartbeats say that it is ready; then it is replaced.
+    :cvar STORE_LOSES: writes to the store take effect but their responses are
+        lost.
     """
 
     KILL = 'kill'
@@ -56,181 +57,190 @@
     ORDER = 'order'
 
 
-#: Troubles that touch the store or the wishes and so no single VM.
-GLOBAL = frozenset(
+#: Faults of the store and changes by operators, which affect no single VM.
+GLOBAL_KINDS = frozenset(
     (
-        Kind.STORE_DOWN,
-        Kind.STORE_SILENT,
-        Kind.STORE_LOSES,
-        Kind.STORE_COMPACT,
-        Kind.CONFIGURE,
-        Kind.ORDER,
+        FaultKind.STORE_DOWN,
+        FaultKind.STORE_SILENT,
+        FaultKind.STORE_LOSES,
+        FaultKind.STORE_COMPACT,
+        FaultKind.CONFIGURE,
+        FaultKind.ORDER,
     ),
 )
-#: Changes come often; the rest is drawn evenly.
-_WEIGHTS = {Kind.CONFIGURE: 4, Kind.STOP: 2, Kind.DRAIN: 2}
-#: Drawn apart, so that the seeds of before draw what they drew.
-_APART = frozenset(
+#: Relative frequency of kinds; all others have weight 1.
+_WEIGHTS = {FaultKind.CONFIGURE: 4, FaultKind.STOP: 2, FaultKind.DRAIN: 2}
+#: Kinds with their own random generators, so that older seeds still generate
+#: the same faults of the other kinds.
+_SEPARATELY_GENERATED = frozenset(
     (
-        Kind.LATE_PEERS,
-        Kind.CRASH,
-        Kind.DEADLY,
-        Kind.LIMIT,
-        Kind.LEAVES_IN_BAND,
+        FaultKind.LATE_PEERS,
+        FaultKind.CRASH,
+        FaultKind.DEADLY,
+        FaultKind.LIMIT,
+        FaultKind.LEAVES_IN_BAND,
     ),
 )
-#: How long a limit holds, in seconds: until it has to be kept, and some spans
-#: in which it is counted. It begins in the first part of a run.
-_LIMITED = (8.0, 12.0)
-_LIMITED_FROM = 0.25
-#: Comings of the deadly request, and pause between two, in seconds. They begin
-#: in the first part of a run, so that most come when it has long been known.
-_COMINGS = (10, 30)
-_COMING_GAP = (0.1, 1.0)
-_DEADLY_FROM = 0.3
-#: Seconds of a run for each time that a third of the upstreams crash.
-_CRASH_EVERY = 6.0
-#: How long what is new is held, in seconds: longer than a daemon is trusted
-#: without a sign of life, and shorter than a deadline.
-_LATE = (0.7, 1.5)
-#: Seconds of a run for each time that signs of life are late.
-_LATE_EVERY = 5.0
-#: Longest trouble, and longest pause within a series, in seconds.
-_LONGEST = 3.0
-_LONGEST_GAP = 1.0
-_MOST_REPEATS = 4
-#: Troubles begun in each second of a run, for each VM; series overlap.
-_RATE = 0.12
-
-
-class Trouble(Struct, frozen=True, kw_only=True):
-    """One trouble of a run.
-
-    :param at: seconds from the begin of the traffic.
-    :param vm: place of the VM that it touches; -1 where it is global.
-    :param lasts: seconds until it is lifted, where that fits.
-    :param draw: decides what the kind leaves open.
+#: Duration of a limit: the time until it is enforced plus several windows in
+#: which requests are counted.
+_LIMIT_DURATION_S = (8.0, 12.0)
+#: Limits start in this first part of a run.
+_IN_BAND_START_SHARE = 0.25
+#: Number of deadly requests, and the pause between two of them.
+_DEADLY_REQUEST_COUNT = (10, 30)
+_DEADLY_REQUEST_GAP_S = (0.1, 1.0)
+#: Deadly requests start in this first part of a run, so that most of them come
+#: long after the daemons have identified the request.
+_DEADLY_START_SHARE = 0.3
+#: Mean time between simultaneous crashes of a third of the upstreams.
+_CRASH_INTERVAL_S = 6.0
+#: Duration of a hold: longer than the time after which a silent daemon is
+#: suspected, and shorter than a deadline.
+_HOLD_DURATION_S = (0.7, 1.5)
+#: Mean time between groups of holds.
+_HOLD_INTERVAL_S = 5.0
+#: Longest duration of a fault, and longest pause within a series.
+_MAX_DURATION_S = 3.0
+_MAX_SERIES_GAP_S = 1.0
+_MAX_SERIES_LENGTH = 4
+#: Number of faults per VM and second of a run; series may overlap.
+_FAULTS_PER_VM_SECOND = 0.12
+
+
+class Fault(Struct, frozen=True, kw_only=True):
+    """One fault of a run.
+
+    :param at: seconds since the start of the traffic.
+    :param vm: index of the affected VM; -1 for a global fault.
+    :param duration: seconds until the fault is lifted, if its kind has an end.
+    :param random_value: selects among the variants of the kind.
     """
 
     at: float
-    kind: Kind
+    kind: FaultKind
     vm: int
-    lasts: float
-    draw: int
+    duration: float
+    random_value: int
 
 
-def draw_plan(seed: int, *, vms: int, seconds: float) -> list[Trouble]:
-    """Draw the troubles of a run, in order of time."""
+def generate_plan(seed: int, *, vms: int, seconds: float) -> list[Fault]:
+    """Generate the faults of a run, ordered by time."""
     random = Random(seed)
-    kinds = [kind for kind in Kind if kind not in _APART]
+    kinds = [kind for kind in FaultKind if kind not in _SEPARATELY_GENERATED]
     weights = [_WEIGHTS.get(kind, 1) for kind in kinds]
-    found: list[Trouble] = []
-    wanted = max(4, int(seconds * vms * _RATE))
-    while len(found) < wanted:
+    plan: list[Fault] = []
+    fault_count = max(4, int(seconds * vms * _FAULTS_PER_VM_SECOND))
+    while len(plan) < fault_count:
         kind = random.choices(kinds, weights)[0]
         at = random.uniform(0, seconds)
-        for _ in range(random.choice((1, 1, 1, 2, _MOST_REPEATS))):
-            found.append(
-                Trouble(
+        for _ in range(random.choice((1, 1, 1, 2, _MAX_SERIES_LENGTH))):
+            plan.append(
+                Fault(
                     at=round(at, 2),
                     kind=kind,
-                    vm=-1 if kind in GLOBAL else random.randrange(vms),
-                    lasts=round(random.uniform(0.2, _LONGEST), 2),
-                    draw=random.randrange(1 << 16),
+                    vm=-1 if kind in GLOBAL_KINDS else random.randrange(vms),
+                    duration=round(random.uniform(0.2, _MAX_DURATION_S), 2),
+                    random_value=random.randrange(1 << 16),
                 ),
             )
-            at = min(at + random.uniform(0, _LONGEST_GAP), seconds)
-    found.extend(_draw_late(seed, vms, seconds))
-    found.extend(_draw_deadly(seed, vms, seconds))
-    found.extend(_draw_crashes(seed, vms, seconds))
-    found.extend(_draw_in_band(seed, vms, seconds))
-    return sorted(found, key=lambda trouble: trouble.at)
+            at = min(at + random.uniform(0, _MAX_SERIES_GAP_S), seconds)
+    plan.extend(_generate_holds(seed, vms, seconds))
+    plan.extend(_generate_deadly_requests(seed, vms, seconds))
+    plan.extend(_generate_crashes(seed, vms, seconds))
+    plan.extend(_generate_in_band_signals(seed, vms, seconds))
+    return sorted(plan, key=lambda fault: fault.at)
 
 
-def _draw_late(seed: int, vms: int, seconds: float) -> Iterator[Trouble]:
-    """Series of late signs of life, each with the stop of several daemons."""
+def _generate_holds(seed: int, vms: int, seconds: float) -> Iterator[Fault]:
+    """Generate groups of held peer links, with several daemon stops in each."""
     random = Random(f'late {seed}')
-    for _ in range(max(1, int(seconds / _LATE_EVERY))):
-        at = random.uniform(0, seconds - _LONGEST_GAP)
-        touched = random.sample(range(vms), max(1, vms // 2))
-        stopped = random.sample(range(vms), max(1, vms // 3))
-        held = (Kind.LATE_PEERS, touched)
-        for kind, places in (held, (Kind.STOP, stopped)):
-            for vm in places:
-                yield Trouble(
-                    at=round(at + random.uniform(0, _LONGEST_GAP), 2),
+    for _ in range(max(1, int(seconds / _HOLD_INTERVAL_S))):
+        at = random.uniform(0, seconds - _MAX_SERIES_GAP_S)
+        held_vms = random.sample(range(vms), max(1, vms // 2))
+        stopped_vms = random.sample(range(vms), max(1, vms // 3))
+        hold = (FaultKind.LATE_PEERS, held_vms)
+        for kind, vm_indexes in (hold, (FaultKind.STOP, stopped_vms)):
+            for vm in vm_indexes:
+                yield Fault(
+                    at=round(at + random.uniform(0, _MAX_SERIES_GAP_S), 2),
                     kind=kind,
                     vm=vm,
-                    lasts=round(random.uniform(*_LATE), 2),
-                    draw=random.randrange(1 << 16),
+                    duration=round(random.uniform(*_HOLD_DURATION_S), 2),
+                    random_value=random.randrange(1 << 16),
                 )
 
 
-def _draw_deadly(seed: int, vms: int, seconds: float) -> Iterator[Trouble]:
-    """Comings of one deadly request, each at any VM."""
+def _generate_deadly_requests(
+    seed: int, vms: int, seconds: float
+) -> Iterator[Fault]:
+    """Generate repeated sending of one deadly request to random VMs."""
     random = Random(f'deadly {seed}')
-    at = random.uniform(0, seconds * _DEADLY_FROM)
-    for _ in range(random.randint(*_COMINGS)):
+    at = random.uniform(0, seconds * _DEADLY_START_SHARE)
+    for _ in range(random.randint(*_DEADLY_REQUEST_COUNT)):
         if at > seconds:
             return
-        yield Trouble(
+        yield Fault(
             at=round(at, 2),
-            kind=Kind.DEADLY,
+            kind=FaultKind.DEADLY,
             vm=random.randrange(vms),
-            lasts=0,
-            draw=random.randrange(1 << 16),
+            duration=0,
+            random_value=random.randrange(1 << 16),
         )
-        at += random.uniform(*_COMING_GAP)
+        at += random.uniform(*_DEADLY_REQUEST_GAP_S)
 
 
-def _draw_crashes(seed: int, vms: int, seconds: float) -> Iterator[Trouble]:
-    """Upstreams that crash together, for a cause of their own."""
+def _generate_crashes(seed: int, vms: int, seconds: float) -> Iterator[Fault]:
+    """Generate simultaneous upstream crashes that no request causes."""
     random = Random(f'crash {seed}')
-    for _ in range(max(1, int(seconds / _CRASH_EVERY))):
+    for _ in range(max(1, int(seconds / _CRASH_INTERVAL_S))):
         at = random.uniform(0, seconds)
         for vm in random.sample(range(vms), max(1, vms // 3)):
-            yield Trouble(
+            yield Fault(
                 at=round(at, 2),
-                kind=Kind.CRASH,
+                kind=FaultKind.CRASH,
                 vm=vm,
-                lasts=0,
-                draw=random.randrange(1 << 16),
+                duration=0,
+                random_value=random.randrange(1 << 16),
             )
 
 
-def _draw_in_band(seed: int, vms: int, seconds: float) -> Iterator[Trouble]:
-    """Limits and leaves that upstreams name in their answers.
+def _generate_in_band_signals(
+    seed: int, vms: int, seconds: float
+) -> Iterator[Fault]:
+    """Generate limits and leaves that upstreams announce in responses.
 
-    The daemon of a limited upstream is stopped or killed meanwhile.
+    The daemon of a limited upstream is stopped or killed during the limit.
     """
     random = Random(f'in band {seed}')
-    places = random.sample(range(vms), max(2, vms // 2))
-    leaving = places.pop()
-    for vm in places:
-        at = random.uniform(0, seconds * _LIMITED_FROM)
-        lasts = random.uniform(*_LIMITED)
-        yield _at(at, Kind.LIMIT, vm, lasts, random)
+    vm_indexes = random.sample(range(vms), max(2, vms // 2))
+    leaving_vm = vm_indexes.pop()
+    for vm in vm_indexes:
+        at = random.uniform(0, seconds * _IN_BAND_START_SHARE)
+        duration = random.uniform(*_LIMIT_DURATION_S)
+        yield _make_fault(at, FaultKind.LIMIT, vm, duration, random)
         for _ in range(random.randint(0, 2)):
-            kind = random.choice((Kind.STOP, Kind.KILL))
-            later = min(at + random.uniform(1, lasts), seconds)
-            yield _at(later, kind, vm, random.uniform(0.2, 1), random)
-    at = random.uniform(0, seconds * (1 - _LIMITED_FROM))
-    yield _at(at, Kind.LEAVES_IN_BAND, leaving, 0, random)
+            kind = random.choice((FaultKind.STOP, FaultKind.KILL))
+            later = min(at + random.uniform(1, duration), seconds)
+            yield _make_fault(later, kind, vm, random.uniform(0.2, 1), random)
+    at = random.uniform(0, seconds * (1 - _IN_BAND_START_SHARE))
+    yield _make_fault(at, FaultKind.LEAVES_IN_BAND, leaving_vm, 0, random)
     later = min(at + random.uniform(0.1, 2), seconds)
-    yield _at(later, Kind.KILL, leaving, random.uniform(0.2, 1), random)
+    yield _make_fault(
+        later, FaultKind.KILL, leaving_vm, random.uniform(0.2, 1), random
+    )
 
 
-def _at(
+def _make_fault(
     at: float,
-    kind: Kind,
+    kind: FaultKind,
     vm: int,
-    lasts: float,
+    duration: float,
     random: Random,
-) -> Trouble:
-    return Trouble(
+) -> Fault:
+    return Fault(
         at=round(at, 2),
         kind=kind,
         vm=vm,
-        lasts=round(lasts, 2),
-        draw=random.randrange(1 << 16),
+        duration=round(duration, 2),
+        random_value=random.randrange(1 << 16),
     )
--- a/libs/soak/src/verbenamill_soak/responses.py
+++ b/libs/soak/src/verbenamill_soak/responses.py
@@ -1,4 +1,4 @@
-"""Reads answers that come one behind the other on a connection."""
+"""Parser for pipelined HTTP responses on one connection."""
 
 import httptools
 from msgspec import Struct
@@ -6,10 +6,10 @@
 from verbenamill_platform_standins.callers import read_seal
 
 
-class Answer(Struct, kw_only=True):
-    """One whole answer.
+class Response(Struct, kw_only=True):
+    """A complete response.
 
-    :param is_last: whether the daemon closes the connection behind it.
+    :param is_last: whether the daemon closes the connection after it.
     """
 
     status: int
@@ -18,41 +18,41 @@
     is_last: bool
 
 
-class Answers:
-    """What a connection has brought so far."""
+class ResponseParser:
+    """Incremental parser of the responses on one connection."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[bytes, bytes]] = []
         self._body = b''
-        self._whole: list[Answer] = []
+        self._complete_responses: list[Response] = []
 
-    def feed(self, data: bytes) -> list[Answer]:
-        """Answers that have become whole by further bytes.
+    def feed(self, data: bytes) -> list[Response]:
+        """Parse more bytes and return the responses that they complete.
 
-        :raises httptools.HttpParserError: if it is no HTTP.
+        :raises httptools.HttpParserError: if the bytes are not valid HTTP.
         """
-        self._whole = []
+        self._complete_responses = []
         self._parser.feed_data(data)
-        return self._whole
+        return self._complete_responses
 
     def on_message_begin(self) -> None:
-        """Begin the next answer."""
+        """Reset the state for the next response."""
         self._headers = []
         self._body = b''
 
-    def on_header(self, name: bytes, told: bytes) -> None:
-        """Take a header."""
-        self._headers.append((name.lower(), told))
+    def on_header(self, name: bytes, header_value: bytes) -> None:
+        """Store a response header."""
+        self._headers.append((name.lower(), header_value))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the response body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """End the answer."""
-        self._whole.append(
-            Answer(
+        """Store the completed response."""
+        self._complete_responses.append(
+            Response(
                 status=self._parser.get_status_code(),
                 seal=read_seal(self._headers),
                 body=self._body,
--- a/libs/soak/src/verbenamill_soak/run.py
+++ b/libs/soak/src/verbenamill_soak/run.py
@@ -1,4 +1,4 @@
-"""One run from its seed to its report."""
+"""Executes one run and builds its report."""
 
 from pathlib import Path
 from random import Random
@@ -7,26 +7,26 @@
 import trio
 from msgspec import Struct
 
-from verbenamill_soak.callers import Asked, Caller, Ending
-from verbenamill_soak.lag import Lag
+from verbenamill_soak.callers import Caller, Outcome, RequestRecord
+from verbenamill_soak.cluster import Cluster
+from verbenamill_soak.fault_injection import FaultInjector
+from verbenamill_soak.guarantees import GuaranteeChecker
+from verbenamill_soak.lag import EventLoopLag
 from verbenamill_soak.nodes import Node
-from verbenamill_soak.plan import draw_plan
-from verbenamill_soak.guarantees import Promises
-from verbenamill_soak.relays import Way
-from verbenamill_soak.cluster import Site
-from verbenamill_soak.timeline import Broken, Moment, Timeline
-from verbenamill_soak.fault_injection import Troubles
-
-#: After the last trouble is lifted, time until all is served again, in s.
-RECOVERY_LIMIT = 15.0
+from verbenamill_soak.plan import generate_plan
+from verbenamill_soak.relays import LinkMode
+from verbenamill_soak.timeline import Timeline, TimelineEvent, Violation
+
+#: Time after the last fault until all VMs have to serve requests again.
+RECOVERY_TIMEOUT_S = 15.0
 #: Callers on each VM.
-CALLERS = 2
+CALLERS_PER_VM = 2
 
 
-class Wanted(Struct, frozen=True, kw_only=True):
-    """What to run.
+class RunOptions(Struct, frozen=True, kw_only=True):
+    """Options of a run.
 
-    :param seconds: time with troubles; the recovery comes on top.
+    :param seconds: duration of the faults; the recovery comes in addition.
     """
 
     seed: int
@@ -35,127 +35,128 @@
 
 
 class Report(Struct, kw_only=True):
-    """What became of a run.
+    """The result of a run.
 
-    :param requests: by how they ended and their status.
-    :param worst_lag: of the soak's own process, in seconds.
-    :param lag: the sum of all its lags, in seconds.
+    :param requests: number of requests by outcome or response status.
+    :param worst_lag: longest lag of the soak process, in seconds.
+    :param lag: sum of all lags of the soak process, in seconds.
     """
 
-    wanted: Wanted
-    broken: list[Broken]
+    wanted: RunOptions
+    broken: list[Violation]
     requests: dict[str, int]
-    moments: list[Moment]
+    moments: list[TimelineEvent]
     worst_lag: float
     lag: float
 
     @property
     def verdict(self) -> str:
-        """The first promise that did not hold, or that all were kept."""
+        """The first violated guarantee, or ``kept`` if there is none."""
         if not self.broken:
             return 'kept'
         first = self.broken[0]
         return f'broken: {first.promise}'
 
 
-async def run(wanted: Wanted, folder: Path | None = None) -> Report:
-    """Play a run.
+async def run(options: RunOptions, folder: Path | None = None) -> Report:
+    """Execute a run.
 
-    :param folder: where settings and logs go; none keeps them for the run.
+    :param folder: directory for settings and logs; ``None`` uses a temporary
+        directory that is deleted after the run.
     """
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        return await _run(wanted, folder)
-    with TemporaryDirectory(prefix='verbenamill-soak-') as made:
-        return await _run(wanted, Path(made))
+        return await _run(options, folder)
+    with TemporaryDirectory(prefix='verbenamill-soak-') as temporary_folder:
+        return await _run(options, Path(temporary_folder))
 
 
-async def _run(wanted: Wanted, folder: Path) -> Report:
+async def _run(options: RunOptions, folder: Path) -> Report:
     timeline = Timeline()
-    lag = Lag(timeline)
+    lag = EventLoopLag(timeline)
     async with trio.open_nursery() as nursery:
-        site = Site(nursery, timeline, Random(wanted.seed))
-        promises = Promises(site)
+        cluster = Cluster(nursery, timeline, Random(options.seed))
+        checker = GuaranteeChecker(cluster)
         try:
-            await site.open(wanted.vms, folder)
-            site.begin_traffic(CALLERS)
-            nursery.start_soon(promises.watch)
+            await cluster.open(options.vms, folder)
+            cluster.start_callers(CALLERS_PER_VM)
+            nursery.start_soon(checker.watch)
             nursery.start_soon(lag.watch)
-            await _play(site, wanted)
-            await _check_recovery(site)
-            promises.look()
+            await _inject_faults(cluster, options)
+            await _check_recovery(cluster)
+            checker.check()
         finally:
-            await _end(site)
-        promises.check_logs()
+            await _kill_daemons(cluster)
+        checker.check_logs()
         nursery.cancel_scope.cancel()
     return Report(
-        wanted=wanted,
-        broken=timeline.broken,
-        requests=_count(site.callers),
-        moments=timeline.moments,
+        wanted=options,
+        broken=timeline.violations,
+        requests=_count_outcomes(cluster.callers),
+        moments=timeline.events,
         worst_lag=round(lag.worst, 3),
         lag=round(lag.total, 3),
     )
 
 
-async def _play(site: Site, wanted: Wanted) -> None:
-    plan = draw_plan(wanted.seed, vms=wanted.vms, seconds=wanted.seconds)
-    troubles = Troubles(site)
-    began = trio.current_time()
+async def _inject_faults(cluster: Cluster, options: RunOptions) -> None:
+    plan = generate_plan(options.seed, vms=options.vms, seconds=options.seconds)
+    injector = FaultInjector(cluster)
+    started_at = trio.current_time()
     async with trio.open_nursery() as nursery:
-        for trouble in plan:
-            await trio.sleep_until(began + trouble.at)
-            nursery.start_soon(troubles.play, trouble)
-
-
-async def _check_recovery(site: Site) -> None:
-    """Everything serves the newest configuration once all is lifted."""
-    site.publish()
-    newest = site.get_versions()[-1]
-    for node in site.nodes:
-        for switch in (node.peers, node.to_store, node.to_upstream):
-            switch.set(Way.OPEN)
-    behind: dict[str, str] = {}
-
-    async def look(node: Node) -> None:
-        fault = await _find_fault(node, newest)
-        behind.pop(node.name, None)
-        if fault:
-            behind[node.name] = f'{node.name}: {fault}'
-
-    async def is_well() -> bool:
-        # One after the other, many daemons would take all of the time.
+        for fault in plan:
+            await trio.sleep_until(started_at + fault.at)
+            nursery.start_soon(injector.inject, fault)
+
+
+async def _check_recovery(cluster: Cluster) -> None:
+    """Check that all VMs serve the newest configuration after the faults."""
+    cluster.publish()
+    newest = cluster.get_versions()[-1]
+    for node in cluster.nodes:
+        for link in (node.peer_link, node.store_link, node.upstream_link):
+            link.set(LinkMode.OPEN)
+    problems: dict[str, str] = {}
+
+    async def check_node(node: Node) -> None:
+        problem = await _find_recovery_problem(node, newest)
+        problems.pop(node.name, None)
+        if problem:
+            problems[node.name] = f'{node.name}: {problem}'
+
+    async def have_all_recovered() -> bool:
+        # Checking many daemons sequentially would exceed the time limit.
         async with trio.open_nursery() as nursery:
-            for node in site.nodes:
-                nursery.start_soon(look, node)
-        return not behind
+            for node in cluster.nodes:
+                nursery.start_soon(check_node, node)
+        return not problems
 
-    if not await site.until(is_well, RECOVERY_LIMIT):
-        site.timeline.break_promise('recovers', '; '.join(behind.values()))
+    if not await cluster.wait_until(have_all_recovered, RECOVERY_TIMEOUT_S):
+        cluster.timeline.add_violation('recovers', '; '.join(problems.values()))
 
 
-async def _find_fault(node: Node, newest: int) -> str:
-    caller = Caller(node, node.next_place(), Random(0))
+async def _find_recovery_problem(node: Node, newest: int) -> str:
+    caller = Caller(node, node.next_caller_index(), Random(0))
     for path, is_fee in ((f'/v{newest}/', False), ('/fee/', True)):
-        asked: Asked = await caller.call(path, is_fee=is_fee)
-        if asked.status != 200:
-            return f'{path} {asked.ending.value} {asked.status}'
+        record: RequestRecord = await caller.call(path, is_fee=is_fee)
+        if record.status != 200:
+            return f'{path} {record.outcome.value} {record.status}'
     return ''
 
 
-async def _end(site: Site) -> None:
-    """End the processes that this run has started, and no others."""
+async def _kill_daemons(cluster: Cluster) -> None:
+    """Kill the daemons that this run has started, and no other processes."""
     with trio.CancelScope(shield=True):
-        for node in site.nodes:
-            await node.end()
+        for node in cluster.nodes:
+            await node.kill()
 
 
-def _count(callers: list[Caller]) -> dict[str, int]:
+def _count_outcomes(callers: list[Caller]) -> dict[str, int]:
     counts: dict[str, int] = {}
     for caller in callers:
-        for asked in caller.asked:
-            told = asked.ending.value
-            if asked.ending is Ending.ANSWERED:
-                told = str(asked.status)
-            counts[told] = counts.get(told, 0) + 1
+        for record in caller.records:
+            key = record.outcome.value
+            if record.outcome is Outcome.ANSWERED:
+                key = str(record.status)
+            counts[key] = counts.get(key, 0) + 1
     return dict(sorted(counts.items()))
--- a/libs/soak/src/verbenamill_soak/timeline.py
+++ b/libs/soak/src/verbenamill_soak/timeline.py
@@ -1,21 +1,24 @@
-"""What happened in a run, and the promises that it broke."""
+"""Events of a run, and the guarantees that it violated."""
 
 import trio
 from msgspec import Struct
 
 
-class Moment(Struct, frozen=True):
-    """Something that happened.
+class TimelineEvent(Struct, frozen=True):
+    """An event of a run.
 
-    :param at: seconds from the begin of the traffic.
+    :param at: seconds since the timeline started.
     """
 
     at: float
     text: str
 
 
-class Broken(Struct, frozen=True):
-    """A promise that did not hold."""
+class Violation(Struct, frozen=True):
+    """A violated guarantee.
+
+    :param promise: name of the guarantee.
+    """
 
     at: float
     promise: str
@@ -23,28 +26,28 @@
 
 
 class Timeline:
-    """Collects moments and broken promises, in order of time."""
+    """Collects events and violations in chronological order."""
 
     def __init__(self) -> None:
-        self._began = trio.current_time()
-        self.moments: list[Moment] = []
-        self.broken: list[Broken] = []
+        self._started_at = trio.current_time()
+        self.events: list[TimelineEvent] = []
+        self.violations: list[Violation] = []
 
     @property
     def now(self) -> float:
-        """Seconds from the begin."""
-        return trio.current_time() - self._began
+        """Seconds since the timeline started."""
+        return trio.current_time() - self._started_at
 
-    def since_begin(self, at: float) -> float:
-        """A moment of trio's clock, in seconds from the begin."""
-        return at - self._began
+    def since_start(self, at: float) -> float:
+        """Convert a time of trio's clock to seconds since the start."""
+        return at - self._started_at
 
-    def tell(self, text: str) -> None:
-        """Note what happens now."""
-        self.moments.append(Moment(round(self.now, 3), text))
+    def add_event(self, text: str) -> None:
+        """Add an event at the current time."""
+        self.events.append(TimelineEvent(round(self.now, 3), text))
 
-    def break_promise(self, promise: str, text: str) -> None:
-        """Note that a promise does not hold."""
+    def add_violation(self, promise: str, text: str) -> None:
+        """Add a violation at the current time, and an event for it."""
         at = round(self.now, 3)
-        self.broken.append(Broken(at, promise, text))
-        self.tell(f'BROKEN {promise}: {text}')
+        self.violations.append(Violation(at, promise, text))
+        self.add_event(f'BROKEN {promise}: {text}')
--- a/libs/soak/src/verbenamill_soak/upstreams.py
+++ b/libs/soak/src/verbenamill_soak/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstream of one VM of a run."""
+"""The upstreams that run on the VMs of a run."""
 
 from dataclasses import dataclass, field
 
@@ -8,71 +8,77 @@
 from verbenamill_platform_standins.callers import SEAL_HEADER
 from verbenamill_platform_standins.http_server import HttpRequest, HttpResponse
 
-#: Path of the request that crashes each upstream that runs it.
-DEADLY = '/lookup/deadly'
-#: How long an upstream serves after its draining was acknowledged, in s.
-DRAIN_TIME = 2.0
-#: Service time of an upstream, and of one that works for longer than a silent
-#: daemon is trusted, in seconds.
-WORK = 0.02
-LONG_WORK = 0.8
+#: Path of the request that crashes every upstream that executes it.
+DEADLY_PATH = '/lookup/deadly'
+#: Time for which an upstream still serves after its leave was acknowledged.
+DRAIN_TIME_S = 2.0
+#: Usual service time of an upstream.
+SERVICE_TIME_S = 0.02
+#: Service time that exceeds the time after which a silent daemon is suspected.
+LONG_SERVICE_TIME_S = 0.8
 
 
 @dataclass
 class Upstream(UpstreamStandIn):
-    """One upstream of a run.
+    """An upstream that a run controls.
 
-    :ivar acked_at: when its leaving was acknowledged.
-    :ivar died_at: when it ended without that.
-    :ivar is_leaving: whether it ends, or waits for somebody to know that.
-    :ivar fails: whether it answers half of its requests with 500.
-    :ivar name: that of its first start; it has another one after a crash.
-    :ivar killed_at: when the deadly request crashed it.
-    :ivar limits: limits that it has named, and since when.
+    :ivar leave_acknowledged_at: when its leave was acknowledged.
+    :ivar terminated_at: when it ended without an acknowledged leave.
+    :ivar is_leaving: whether it has ended or has begun to announce its leave.
+    :ivar fails_requests: whether it answers half of its requests with 500.
+    :ivar name: instance name of the first start; each restart after a crash
+        has a new instance name.
+    :ivar deadly_crash_times: when the deadly request crashed it.
+    :ivar limit_history: announced limits and their start times.
     """
 
-    acked_at: float | None = None
-    died_at: float = float('-inf')
+    leave_acknowledged_at: float | None = None
+    terminated_at: float = float('-inf')
     is_leaving: bool = False
-    fails: bool = False
+    fails_requests: bool = False
     name: str = ''
-    killed_at: list[float] = field(default_factory=list)
-    limits: list[tuple[float, float | None]] = field(default_factory=list)
+    deadly_crash_times: list[float] = field(default_factory=list)
+    limit_history: list[tuple[float, float | None]] = field(
+        default_factory=list
+    )
 
     def __post_init__(self) -> None:
-        """Remember its first name."""
+        """Store the instance name of the first start."""
         self.name = self.instance
 
-    def name_limit(self, rate: float | None) -> None:
-        """Name another limit from now on, or none."""
+    def announce_limit(self, rate: float | None) -> None:
+        """Announce another limit from now on, or none."""
         self.limit = rate
-        self.limits.append((trio.current_time(), rate))
+        self.limit_history.append((trio.current_time(), rate))
 
-    def most_allowed(self, since: float, until: float) -> float | None:
-        """The largest limit of a time; ``None`` if it named none in it."""
-        found: list[float | None] = [None]
-        for at, rate in self.limits:
+    def max_limit_during(self, since: float, until: float) -> float | None:
+        """Return the highest limit of an interval.
+
+        The result is ``None`` if there was no limit for part of the interval.
+        """
+        rates: list[float | None] = [None]
+        for at, rate in self.limit_history:
             if at <= since:
-                found = [rate]
+                rates = [rate]
             elif at <= until:
-                found.append(rate)
-        named = [one for one in found if one is not None]
-        return max(named) if len(named) == len(found) else None
+                rates.append(rate)
+        limits = [limit for limit in rates if limit is not None]
+        return max(limits) if len(limits) == len(rates) else None
 
-    def dies_of(self, asked: HttpRequest) -> bool:
-        """Whether a request crashes it."""
-        if asked.path != DEADLY:
+    def crashes_on_request(self, request: HttpRequest) -> bool:
+        """Return whether a request crashes the upstream."""
+        if request.path != DEADLY_PATH:
             return False
-        self.killed_at.append(trio.current_time())
+        self.deadly_crash_times.append(trio.current_time())
         return True
 
     def crash(self) -> None:
-        """End at once, and start again after a while."""
-        self.died_at = trio.current_time()
+        """Crash, and restart after the down time."""
+        self.terminated_at = trio.current_time()
         super().crash()
 
-    def judge(self, asked: HttpRequest) -> HttpResponse | None:
-        """Fail every second request of a bad version."""
-        if self.fails and len(self.executions) % 2:
+    def script_response(self, request: HttpRequest) -> HttpResponse | None:
+        """Return an error for every second request to a bad version."""
+        if self.fails_requests and len(self.executions) % 2:
             return HttpResponse(500, {SEAL_HEADER: 'bad'}, b'bad version')
         return None
--- a/libs/soak/tests/test_guarantees.py
+++ b/libs/soak/tests/test_guarantees.py
@@ -1,4 +1,4 @@
-"""Each promise is found broken when it is, and kept when it is."""
+"""The checker reports violated guarantees and no others."""
 
 from functools import partial
 
@@ -14,23 +14,23 @@
     write_status,
 )
 from verbenamill_platform_standins.upstream import Arrival, Execution
-from verbenamill_soak.callers import DEADLINE, Asked, Ending
-from verbenamill_soak.guarantees import BACK_LIMIT, Promises
-from verbenamill_soak.relays import Switch, Way
-from verbenamill_soak.cluster import SERVICE, Order
+from verbenamill_soak.callers import DEADLINE_S, Outcome, RequestRecord
+from verbenamill_soak.cluster import SERVICE, RolloutOrder
+from verbenamill_soak.guarantees import ROLLBACK_LIMIT_S, GuaranteeChecker
+from verbenamill_soak.relays import LinkControl, LinkMode
 from verbenamill_soak.timeline import Timeline
-from verbenamill_soak.upstreams import DEADLY, DRAIN_TIME, Upstream
+from verbenamill_soak.upstreams import DEADLY_PATH, DRAIN_TIME_S, Upstream
 
 
 class FakeCaller:
-    """What a caller has seen."""
+    """A caller whose records a test supplies."""
 
     def __init__(self):
-        self.asked = []
+        self.records = []
 
 
 class FakeNode:
-    """A VM whose daemon runs."""
+    """A VM whose daemon runs without faults."""
 
     def __init__(self, name):
         self.name = name
@@ -38,18 +38,18 @@
             Upstream(instance=f'i-{name}-0'),
             Upstream(instance=f'i-{name}-1'),
         ]
-        self.harmed_at = float('-inf')
-        self.lives = 1
+        self.last_disrupted_at = float('-inf')
+        self.daemon_starts = 1
         self.is_paused = False
         self.has_ended = False
         self.is_expected_to_end = False
         self.log = None
-        self.peers = Switch()
-        self.to_upstream = Switch()
+        self.peer_link = LinkControl()
+        self.upstream_link = LinkControl()
 
 
-class FakeSite:
-    """What promises look at."""
+class FakeCluster:
+    """A cluster whose records a test supplies."""
 
     def __init__(self):
         self.timeline = Timeline()
@@ -58,438 +58,467 @@
         self.callers = [FakeCaller()]
         self.published = {1: -100.0}
         self.orders = {}
-        self.calm = True
+        self.fault_free = True
 
-    def is_calm(self, node, since):
-        return self.calm
+    def is_fault_free(self, node, since):
+        return self.fault_free
 
-    def ran(self, id, *, vm=0, place=0, at=1.0):
-        ran = Execution(
+    def execute(self, id, *, vm=0, place=0, at=1.0):
+        execution = Execution(
             id=id, method='GET', path='/', body=b'', headers={}, at=at
         )
-        self.nodes[vm].upstreams[place].executions.append(ran)
+        self.nodes[vm].upstreams[place].executions.append(execution)
 
-    def asked(self, id, **more):
-        body = more.pop('body', f'answer to {id}'.encode())
+    def record(self, id, **overrides):
+        body = overrides.pop('body', f'answer to {id}'.encode())
         fields = {
             'id': id,
             'vm': 'vm0',
-            'life': 1,
+            'daemon_start': 1,
             'path': '/lookup/',
             'is_fee': False,
             'sent_at': 1.0,
             'ended_at': 1.1,
-            'ending': Ending.ANSWERED,
+            'outcome': Outcome.ANSWERED,
             'status': 200,
             'body': body,
             'seal': b's',
         }
-        self.callers[0].asked.append(Asked(**(fields | more)))
+        self.callers[0].records.append(RequestRecord(**(fields | overrides)))
 
-    def status(self, order, state):
+    def set_status(self, order, state):
         write_status(self.store, SERVICE, RolloutStatus(order, state))
 
 
 @pytest.fixture
-def broken():
-    """Names of the promises that a scene breaks."""
+def find_violations():
+    """Return a function that names the guarantees violated by a scenario."""
 
-    def find(act):
+    def find(scenario):
         async def main():
-            site = FakeSite()
-            promises = Promises(site)
-            act(site)
-            promises.look()
-            promises.look()
-            return [one.promise for one in site.timeline.broken]
+            cluster = FakeCluster()
+            checker = GuaranteeChecker(cluster)
+            scenario(cluster)
+            checker.check()
+            checker.check()
+            return [one.promise for one in cluster.timeline.violations]
 
         return trio.run(main, clock=MockClock())
 
     return find
 
 
-def test_a_good_answer_breaks_nothing(broken):
-    def act(site):
-        site.ran('a')
-        site.asked('a', is_fee=True)
+def test_a_good_answer_breaks_nothing(find_violations):
+    def scenario(cluster):
+        cluster.execute('a')
+        cluster.record('a', is_fee=True)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def test_an_answer_to_another_request(broken):
-    assert broken(lambda site: site.asked('a', body=b'answer to b')) == [
+def test_an_answer_to_another_request(find_violations):
+    assert find_violations(
+        lambda cluster: cluster.record('a', body=b'answer to b')
+    ) == [
         'the own whole answer',
     ]
 
 
-def test_a_cut_answer_that_looks_whole(broken):
-    assert broken(lambda site: site.asked('a', body=b'answer')) == [
+def test_a_cut_answer_that_looks_whole(find_violations):
+    assert find_violations(
+        lambda cluster: cluster.record('a', body=b'answer')
+    ) == [
         'the own whole answer',
     ]
 
 
-def test_a_fee_that_ran_twice(broken):
-    def act(site):
-        site.asked('a', is_fee=True)
-        site.ran('a')
-        site.ran('a', place=1)
+def test_a_fee_that_was_executed_twice(find_violations):
+    def scenario(cluster):
+        cluster.record('a', is_fee=True)
+        cluster.execute('a')
+        cluster.execute('a', place=1)
 
-    assert broken(act) == ['at most once']
+    assert find_violations(scenario) == ['at most once']
 
 
-def test_a_lookup_may_run_twice(broken):
-    def act(site):
-        site.asked('a')
-        site.ran('a')
-        site.ran('a', place=1)
+def test_a_lookup_may_be_executed_twice(find_violations):
+    def scenario(cluster):
+        cluster.record('a')
+        cluster.execute('a')
+        cluster.execute('a', place=1)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
 @pytest.mark.parametrize('status', [408, 421, 429, 503])
-def test_a_refused_fee_that_has_run(broken, status):
-    def act(site):
-        site.asked('a', is_fee=True, status=status)
-        site.ran('a')
+def test_a_refused_fee_that_was_executed(find_violations, status):
+    def scenario(cluster):
+        cluster.record('a', is_fee=True, status=status)
+        cluster.execute('a')
 
-    assert broken(act) == ['not run is true']
+    assert find_violations(scenario) == ['not run is true']
 
 
-def test_a_refused_fee_that_runs_later(broken):
-    # The refusal is looked at first, the run comes afterwards.
+def test_a_refused_fee_that_is_executed_later(find_violations):
+    # The checker sees the refusal first and the execution later.
     async def main():
-        site = FakeSite()
-        promises = Promises(site)
-        site.asked('a', is_fee=True, status=503)
-        promises.look()
-        assert site.timeline.broken == []
-        site.ran('a')
-        promises.look()
-        return [one.promise for one in site.timeline.broken]
+        cluster = FakeCluster()
+        checker = GuaranteeChecker(cluster)
+        cluster.record('a', is_fee=True, status=503)
+        checker.check()
+        assert cluster.timeline.violations == []
+        cluster.execute('a')
+        checker.check()
+        return [one.promise for one in cluster.timeline.violations]
 
     assert trio.run(main, clock=MockClock()) == ['not run is true']
 
 
-def test_work_after_the_word_to_leave(broken):
-    def act(site):
-        site.nodes[0].upstreams[0].acked_at = 10
-        site.ran('a', at=10 + DRAIN_TIME - 0.1)
-        site.ran('b', at=10 + DRAIN_TIME + 0.1)
+def test_a_request_after_an_acknowledged_leave(find_violations):
+    def scenario(cluster):
+        cluster.nodes[0].upstreams[0].leave_acknowledged_at = 10
+        cluster.execute('a', at=10 + DRAIN_TIME_S - 0.1)
+        cluster.execute('b', at=10 + DRAIN_TIME_S + 0.1)
 
-    assert broken(act) == ['who leaves gets no work']
+    assert find_violations(scenario) == ['who leaves gets no work']
 
 
-def test_a_request_that_ran_and_was_cut(broken):
-    def act(site):
-        site.ran('a')
-        site.asked('a', ending=Ending.CUT, status=0)
+def test_an_executed_request_whose_connection_was_lost(find_violations):
+    def scenario(cluster):
+        cluster.execute('a')
+        cluster.record('a', outcome=Outcome.CUT, status=0)
 
-    assert broken(act) == ['nothing is cut']
+    assert find_violations(scenario) == ['nothing is cut']
 
 
-def test_a_request_cut_by_a_kill_or_never_passed_on(broken):
-    def act(site):
-        site.nodes[0].harmed_at = 1.05
-        site.ran('a')
-        site.asked('a', ending=Ending.CUT, status=0)
-        site.asked('b', ending=Ending.CUT, status=0, sent_at=1.06)
+def test_a_lost_connection_after_a_kill_or_without_execution(find_violations):
+    def scenario(cluster):
+        cluster.nodes[0].last_disrupted_at = 1.05
+        cluster.execute('a')
+        cluster.record('a', outcome=Outcome.CUT, status=0)
+        cluster.record('b', outcome=Outcome.CUT, status=0, sent_at=1.06)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def test_no_answer(broken):
-    def act(site):
-        site.asked('a', ending=Ending.NO_ANSWER, status=0)
+def test_no_answer(find_violations):
+    def scenario(cluster):
+        cluster.record('a', outcome=Outcome.NO_ANSWER, status=0)
 
-    assert broken(act) == ['an answer in time']
+    assert find_violations(scenario) == ['an answer in time']
 
 
-def test_a_false_404(broken):
-    assert broken(lambda site: site.asked('a', status=404)) == ['no false 404']
+def test_a_false_404(find_violations):
+    assert find_violations(lambda cluster: cluster.record('a', status=404)) == [
+        'no false 404'
+    ]
 
 
-def test_a_configuration_that_goes_back(broken):
-    def act(site):
-        site.calm = False
-        site.published = {1: -100.0, 2: 0.5}
-        site.asked('a', path='/v2/')
-        site.asked('b', path='/v2/', status=404, sent_at=1.2, ended_at=1.3)
+def test_a_configuration_that_reverts_to_an_older_one(find_violations):
+    def scenario(cluster):
+        cluster.fault_free = False
+        cluster.published = {1: -100.0, 2: 0.5}
+        cluster.record('a', path='/v2/')
+        cluster.record('b', path='/v2/', status=404, sent_at=1.2, ended_at=1.3)
 
-    assert broken(act) == ['never back']
+    assert find_violations(scenario) == ['never back']
 
 
-def test_a_new_life_may_begin_without_the_newest(broken):
-    def act(site):
-        site.calm = False
-        site.published = {1: -100.0, 2: 0.5}
-        site.asked('a', path='/v2/')
-        site.asked(
+def test_a_restarted_daemon_may_lack_the_newest_configuration(find_violations):
+    def scenario(cluster):
+        cluster.fault_free = False
+        cluster.published = {1: -100.0, 2: 0.5}
+        cluster.record('a', path='/v2/')
+        cluster.record(
             'b',
             path='/v2/',
             status=404,
             sent_at=1.2,
             ended_at=1.3,
-            life=2,
+            daemon_start=2,
         )
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def test_a_configuration_that_is_late(broken):
-    def act(site):
-        site.published = {1: -100.0, 2: 0.5}
-        site.asked('a', path='/v2/', status=404, sent_at=2.4, ended_at=2.45)
-        site.asked('b', path='/v2/', status=404, sent_at=2.6, ended_at=2.65)
+def test_a_configuration_that_is_late(find_violations):
+    def scenario(cluster):
+        cluster.published = {1: -100.0, 2: 0.5}
+        cluster.record('a', path='/v2/', status=404, sent_at=2.4, ended_at=2.45)
+        cluster.record('b', path='/v2/', status=404, sent_at=2.6, ended_at=2.65)
 
-    assert broken(act) == ['in force in time']
+    assert find_violations(scenario) == ['in force in time']
 
 
-def test_a_route_that_was_dropped_may_be_missing(broken):
-    def act(site):
-        site.published = {number: -100.0 for number in range(1, 9)}
-        site.asked('a', path='/v1/', status=404)
+def test_a_route_that_was_dropped_may_be_missing(find_violations):
+    def scenario(cluster):
+        cluster.published = {number: -100.0 for number in range(1, 9)}
+        cluster.record('a', path='/v1/', status=404)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def test_a_daemon_that_ends_by_itself(broken):
-    def act(site):
-        site.nodes[0].has_ended = True
+def test_a_daemon_that_ends_by_itself(find_violations):
+    def scenario(cluster):
+        cluster.nodes[0].has_ended = True
 
-    assert broken(act) == ['a daemon ends only when told']
+    assert find_violations(scenario) == ['a daemon ends only when told']
 
 
-def test_two_verdicts(broken):
-    def act(site):
-        site.orders = {3: Order('v2', False)}
-        site.status(3, 'running')
-        site.status(3, COMPLETE)
-        site.status(3, ROLLED_BACK)
+def test_two_verdicts(find_violations):
+    def scenario(cluster):
+        cluster.orders = {3: RolloutOrder('v2', False)}
+        cluster.set_status(3, 'running')
+        cluster.set_status(3, COMPLETE)
+        cluster.set_status(3, ROLLED_BACK)
 
-    assert broken(act) == ['one verdict']
+    assert find_violations(scenario) == ['one verdict']
 
 
-def test_a_bad_version_that_is_told_done(broken):
-    def act(site):
-        site.orders = {3: Order('v2', True)}
-        site.status(3, COMPLETE)
+def test_a_bad_version_that_is_reported_complete(find_violations):
+    def scenario(cluster):
+        cluster.orders = {3: RolloutOrder('v2', True)}
+        cluster.set_status(3, COMPLETE)
 
-    assert broken(act) == ['bad is not done']
+    assert find_violations(scenario) == ['bad is not done']
 
 
-def test_a_version_taken_back_that_still_gets_requests(broken):
-    def act(site):
-        site.orders = {3: Order('v2', True)}
-        site.nodes[0].upstreams[1].version = 'v2'
-        site.status(3, ROLLED_BACK)
+def test_a_rolled_back_version_that_still_gets_requests(find_violations):
+    def scenario(cluster):
+        cluster.orders = {3: RolloutOrder('v2', True)}
+        cluster.nodes[0].upstreams[1].version = 'v2'
+        cluster.set_status(3, ROLLED_BACK)
 
     async def main():
-        site = FakeSite()
-        promises = Promises(site)
-        act(site)
-        promises.look()
+        cluster = FakeCluster()
+        checker = GuaranteeChecker(cluster)
+        scenario(cluster)
+        checker.check()
         verdict = trio.current_time()
-        site.ran('a', place=1, at=verdict + BACK_LIMIT - 0.1)
-        site.ran('b', place=0, at=verdict + BACK_LIMIT + 0.1)
-        promises.look()
-        assert site.timeline.broken == []
-        site.ran('c', place=1, at=verdict + BACK_LIMIT + 0.1)
-        promises.look()
-        return [one.promise for one in site.timeline.broken]
+        cluster.execute('a', place=1, at=verdict + ROLLBACK_LIMIT_S - 0.1)
+        cluster.execute('b', place=0, at=verdict + ROLLBACK_LIMIT_S + 0.1)
+        checker.check()
+        assert cluster.timeline.violations == []
+        cluster.execute('c', place=1, at=verdict + ROLLBACK_LIMIT_S + 0.1)
+        checker.check()
+        return [one.promise for one in cluster.timeline.violations]
 
     assert trio.run(main, clock=MockClock()) == [
         'a version taken back gets nothing',
     ]
 
 
-def given_up(site, **more):
-    """A request that vm0 took and gave up while vm1 had it run."""
-    site.ran('a', vm=1)
-    site.asked('a', **({'status': 502, 'body': b''} | more))
+def abandon_request(cluster, **overrides):
+    """Record a request that vm0 gave up while an upstream of vm1 ran it."""
+    cluster.execute('a', vm=1)
+    cluster.record('a', **({'status': 502, 'body': b''} | overrides))
 
 
 @pytest.mark.parametrize('status', [502, 504])
-def test_a_request_given_up_while_an_upstream_is_at_work(broken, status):
-    # Its caller is told 0.1 s after it was sent that there is no answer, and
-    # the upstream has begun to make it. Nobody was harmed.
-    assert broken(lambda site: given_up(site, status=status)) == [
+def test_a_request_given_up_while_an_upstream_is_at_work(
+    find_violations, status
+):
+    # The caller gets an error 0.1 s after it sent the request, although an
+    # upstream is executing it and no daemon was disrupted.
+    assert find_violations(
+        lambda cluster: abandon_request(cluster, status=status)
+    ) == [
         'no work is given up',
     ]
 
 
 @pytest.mark.parametrize(
     ('status', 'after'),
-    [(502, DEADLINE - 0.011), (504, DEADLINE - 0.31)],
+    [(502, DEADLINE_S - 0.011), (504, DEADLINE_S - 0.31)],
 )
-def test_a_request_given_up_shortly_before_its_deadline(broken, status, after):
-    def act(site):
-        given_up(site, status=status, ended_at=1 + after)
+def test_a_request_given_up_shortly_before_its_deadline(
+    find_violations, status, after
+):
+    def scenario(cluster):
+        abandon_request(cluster, status=status, ended_at=1 + after)
 
-    assert broken(act) == ['no work is given up']
+    assert find_violations(scenario) == ['no work is given up']
 
 
 @pytest.mark.parametrize(
     ('status', 'after'),
-    [(502, DEADLINE - 0.009), (504, DEADLINE - 0.29), (504, DEADLINE + 0.01)],
+    [
+        (502, DEADLINE_S - 0.009),
+        (504, DEADLINE_S - 0.29),
+        (504, DEADLINE_S + 0.01),
+    ],
 )
-def test_a_request_whose_time_is_over(broken, status, after):
-    def act(site):
-        given_up(site, status=status, ended_at=1 + after)
+def test_a_request_at_its_deadline(find_violations, status, after):
+    def scenario(cluster):
+        abandon_request(cluster, status=status, ended_at=1 + after)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def test_a_request_that_was_given_up_and_has_not_run(broken):
-    def act(site):
-        site.asked('a', status=502)
-        # It is begun only behind the answer, which another promise judges.
-        site.asked('b', status=502)
-        site.ran('b', vm=1, at=1.2)
+def test_a_request_given_up_before_its_execution(find_violations):
+    def scenario(cluster):
+        cluster.record('a', status=502)
+        # The upstream starts it only after the response, which is covered by
+        # another guarantee.
+        cluster.record('b', status=502)
+        cluster.execute('b', vm=1, at=1.2)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def kill(node):
-    node.harmed_at = -1.9
+def kill_daemon(node):
+    node.last_disrupted_at = -1.9
 
 
 def kill_long_before(node):
-    node.harmed_at = -2.1
+    node.last_disrupted_at = -2.1
 
 
-def pause(node):
+def pause_daemon(node):
     node.is_paused = True
 
 
-def silence(node):
-    node.peers.set(Way.SILENT)
+def silence_link(node):
+    node.peer_link.set(LinkMode.SILENT)
 
 
-def silence_and_lift(node):
-    node.peers.set(Way.SILENT)
-    node.peers.set(Way.OPEN)
+def silence_and_restore(node):
+    node.peer_link.set(LinkMode.SILENT)
+    node.peer_link.set(LinkMode.OPEN)
 
 
-def reset(node):
-    node.peers.reset()
+def reset_link(node):
+    node.peer_link.reset()
 
 
-def lose_upstream(node):
-    node.to_upstream.reset()
+def reset_upstream_link(node):
+    node.upstream_link.reset()
 
 
-def let_upstream_die(node):
-    node.upstreams[0].died_at = 1.05
+def terminate_upstream(node):
+    node.upstreams[0].terminated_at = 1.05
 
 
-def let_upstream_fail(node):
-    node.upstreams[0].fails = True
+def make_upstream_fail(node):
+    node.upstreams[0].fails_requests = True
 
 
-def hold(node):
-    node.peers.hold(holds=True)
-    node.peers.delay = 1.0
+def hold_link(node):
+    node.peer_link.set_holding(is_holding=True)
+    node.peer_link.delay = 1.0
 
 
-def let_upstream_leave(node):
-    node.upstreams[0].acked_at = 1.0
+def acknowledge_leave(node):
+    node.upstreams[0].leave_acknowledged_at = 1.0
     node.is_expected_to_end = True
 
 
-def let_another_upstream_die(node):
-    node.upstreams[1].died_at = 1.05
+def terminate_other_upstream(node):
+    node.upstreams[1].terminated_at = 1.05
 
 
 @pytest.mark.parametrize('vm', [0, 1])
 @pytest.mark.parametrize(
-    'harm',
-    [kill, pause, silence, silence_and_lift, reset],
+    'disrupt',
+    [kill_daemon, pause_daemon, silence_link, silence_and_restore, reset_link],
 )
-def test_a_request_given_up_after_harm_to_one_of_its_daemons(broken, harm, vm):
-    def act(site):
-        harm(site.nodes[vm])
-        given_up(site)
+def test_a_request_given_up_after_a_disruption_of_its_daemons(
+    find_violations, disrupt, vm
+):
+    def scenario(cluster):
+        disrupt(cluster.nodes[vm])
+        abandon_request(cluster)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
 @pytest.mark.parametrize(
-    'harm',
-    [lose_upstream, let_upstream_die, let_upstream_fail],
+    'disrupt',
+    [reset_upstream_link, terminate_upstream, make_upstream_fail],
 )
-def test_a_request_given_up_after_harm_to_its_upstream(broken, harm):
-    def act(site):
-        harm(site.nodes[1])
-        given_up(site)
+def test_a_request_given_up_after_a_fault_of_its_upstream(
+    find_violations, disrupt
+):
+    def scenario(cluster):
+        disrupt(cluster.nodes[1])
+        abandon_request(cluster)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
 @pytest.mark.parametrize('vm', [0, 1])
 @pytest.mark.parametrize(
-    'trouble',
+    'fault',
     [
-        hold,
-        let_upstream_leave,
-        let_another_upstream_die,
+        hold_link,
+        acknowledge_leave,
+        terminate_other_upstream,
         kill_long_before,
     ],
 )
-def test_what_is_no_excuse_for_giving_up_a_request(broken, trouble, vm):
-    # Late signs of life, stops that were told, leaves that were acknowledged,
-    # and harm to others or from long before.
-    def act(site):
-        trouble(site.nodes[vm])
-        given_up(site)
+def test_faults_that_do_not_excuse_giving_up_a_request(
+    find_violations, fault, vm
+):
+    # Held peer links, planned stops, acknowledged leaves, and disruptions of
+    # other processes or from long before.
+    def scenario(cluster):
+        fault(cluster.nodes[vm])
+        abandon_request(cluster)
 
-    assert broken(act) == ['no work is given up']
+    assert find_violations(scenario) == ['no work is given up']
 
 
-def test_harm_where_the_request_did_not_run_is_no_excuse(broken):
-    # It ran at two upstreams. The daemon of the first was killed, and nothing
-    # has happened to that of the second.
-    def act(site):
-        kill(site.nodes[1])
-        site.nodes.append(FakeNode('vm2'))
-        site.ran('a', vm=2)
-        given_up(site)
+def test_a_disruption_elsewhere_does_not_excuse_giving_up(find_violations):
+    # Two upstreams executed it. The daemon of the first was killed, the daemon
+    # of the second was not disrupted.
+    def scenario(cluster):
+        kill_daemon(cluster.nodes[1])
+        cluster.nodes.append(FakeNode('vm2'))
+        cluster.execute('a', vm=2)
+        abandon_request(cluster)
 
-    assert broken(act) == ['no work is given up']
+    assert find_violations(scenario) == ['no work is given up']
 
 
-def run_deadly(site, *times):
-    upstream = site.nodes[0].upstreams[0]
-    upstream.killed_at = [1.0, 1.1, 1.2]
+def run_deadly_request(cluster, *times):
+    upstream = cluster.nodes[0].upstreams[0]
+    upstream.deadly_crash_times = [1.0, 1.1, 1.2]
     for place, at in enumerate(times):
-        ran = Execution(f'vm0-7-{place}', 'GET', DEADLY, b'', {}, at)
-        upstream.executions.append(ran)
+        execution = Execution(f'vm0-7-{place}', 'GET', DEADLY_PATH, b'', {}, at)
+        upstream.executions.append(execution)
 
 
-def test_a_deadly_request_that_goes_on_is_found(broken):
-    assert not broken(
-        lambda site: run_deadly(site, 1, 1.1, 1.2, 4.1, 4.3, 4.4, 4.5),
+def test_a_deadly_request_that_is_not_blocked(find_violations):
+    assert not find_violations(
+        lambda cluster: run_deadly_request(
+            cluster, 1, 1.1, 1.2, 4.1, 4.3, 4.4, 4.5
+        ),
+    )
+    found = find_violations(
+        lambda cluster: run_deadly_request(
+            cluster, 1, 1.1, 1.2, 4.3, 4.4, 4.5, 5
+        )
     )
-    found = broken(lambda site: run_deadly(site, 1, 1.1, 1.2, 4.3, 4.4, 4.5, 5))
     assert found == ['a deadly request is stopped']
 
 
-def test_runs_at_daemons_in_trouble_are_not_held_against_them(broken):
-    def act(site):
-        site.calm = False
-        run_deadly(site, 1, 1.1, 1.2, 4.3, 4.4, 4.5, 5, 6, 7)
+def test_a_deadly_request_at_daemons_with_faults(find_violations):
+    def scenario(cluster):
+        cluster.fault_free = False
+        run_deadly_request(cluster, 1, 1.1, 1.2, 4.3, 4.4, 4.5, 5, 6, 7)
 
-    assert broken(act) == []
+    assert find_violations(scenario) == []
 
 
-def test_a_harmless_request_that_is_blocked_is_found(broken):
+def test_a_harmless_request_that_is_blocked(find_violations):
     reason = b'upstreams crashed under this request'
     for target, found in (
-        (DEADLY, []),
+        (DEADLY_PATH, []),
         ('/lookup/popular', ['only a deadly request is blocked']),
     ):
-        assert found == broken(
+        assert found == find_violations(
             partial(
-                FakeSite.asked,
+                FakeCluster.record,
                 id='a',
                 status=503,
                 body=reason,
@@ -498,74 +527,78 @@
         )
 
 
-def reached(site, count, *, vm=0, every=0.1, since=20.0, born=100, **said):
-    """Requests of one caller that reach an upstream and are answered."""
-    upstream = site.nodes[vm].upstreams[0]
+def deliver(
+    cluster, count, *, vm=0, interval=0.1, since=20.0, born=100, **signals
+):
+    """Record requests of one caller that an upstream receives and answers."""
+    upstream = cluster.nodes[vm].upstreams[0]
     for number in range(count):
-        at = since + number * every
+        at = since + number * interval
         id = f'vm1-{born}-{since}-{number}'
-        upstream.arrivals.append(Arrival(id, at, born, **said))
-        site.asked(id, vm='vm1', sent_at=at, ended_at=at + 0.01)
+        upstream.arrivals.append(Arrival(id, at, born, **signals))
+        cluster.record(id, vm='vm1', sent_at=at, ended_at=at + 0.01)
 
 
-def name_limit(site, rate, *, until=None):
-    """Have an upstream name a limit since the begin."""
-    limits = site.nodes[0].upstreams[0].limits
-    limits.append((0.0, rate))
+def announce_limit(cluster, rate, *, until=None):
+    """Let an upstream announce a limit from the start."""
+    limit_history = cluster.nodes[0].upstreams[0].limit_history
+    limit_history.append((0.0, rate))
     if until is not None:
-        limits.append((until, None))
+        limit_history.append((until, None))
 
 
-def test_a_limit_that_is_exceeded(broken):
-    def act(site):
-        name_limit(site, 2)
-        reached(site, 1, since=1.0, limit=2)
-        reached(site, 100, limit=2)
+def test_a_limit_that_is_exceeded(find_violations):
+    def scenario(cluster):
+        announce_limit(cluster, 2)
+        deliver(cluster, 1, since=1.0, limit=2)
+        deliver(cluster, 100, limit=2)
 
-    assert broken(act) == ['a named limit is kept']
+    assert find_violations(scenario) == ['a named limit is kept']
 
 
-def test_a_limit_that_is_kept(broken):
-    def act(site):
-        name_limit(site, 2)
-        reached(site, 1, since=1.0, limit=2)
-        reached(site, 100, every=0.3, limit=2)
+def test_a_limit_that_is_kept(find_violations):
+    def scenario(cluster):
+        announce_limit(cluster, 2)
+        deliver(cluster, 1, since=1.0, limit=2)
+        deliver(cluster, 100, interval=0.3, limit=2)
 
-    assert not broken(act)
+    assert not find_violations(scenario)
 
 
 @pytest.mark.parametrize('excuse', ['ended', 'untold', 'harmed', 'cut'])
-def test_a_limit_that_does_not_bind(broken, excuse):
-    def act(site):
-        name_limit(site, 2, until=15.0 if excuse == 'ended' else None)
+def test_a_limit_that_does_not_bind(find_violations, excuse):
+    def scenario(cluster):
+        announce_limit(cluster, 2, until=15.0 if excuse == 'ended' else None)
         if excuse != 'untold':
-            reached(site, 1, since=1.0, limit=2)
+            deliver(cluster, 1, since=1.0, limit=2)
         if excuse == 'harmed':
-            site.nodes[1].harmed_at = 100.0
+            cluster.nodes[1].last_disrupted_at = 100.0
         if excuse == 'cut':
-            site.nodes[1].peers.set(Way.REFUSED)
-        reached(site, 100, limit=None if excuse == 'untold' else 2)
+            cluster.nodes[1].peer_link.set(LinkMode.REFUSED)
+        deliver(cluster, 100, limit=None if excuse == 'untold' else 2)
 
-    assert not broken(act)
+    assert not find_violations(scenario)
 
 
-def test_work_for_an_upstream_that_said_in_band_that_it_leaves(broken):
-    def act(site):
-        reached(site, 1, since=1.0, signals_leaving=True)
-        reached(site, 1, since=1.0 + DRAIN_TIME + 0.1, signals_leaving=True)
+def test_a_request_after_a_leave_in_band(find_violations):
+    def scenario(cluster):
+        deliver(cluster, 1, since=1.0, signals_leaving=True)
+        deliver(
+            cluster, 1, since=1.0 + DRAIN_TIME_S + 0.1, signals_leaving=True
+        )
 
-    assert broken(act) == ['who leaves in band gets no work']
+    assert find_violations(scenario) == ['who leaves in band gets no work']
 
 
 @pytest.mark.parametrize('excuse', ['early', 'untold', 'harmed', 'started'])
-def test_a_leave_in_band_that_does_not_bind(broken, excuse):
-    def act(site):
+def test_a_leave_in_band_that_does_not_bind(find_violations, excuse):
+    def scenario(cluster):
         if excuse != 'untold':
-            reached(site, 1, since=1.0, signals_leaving=True)
+            deliver(cluster, 1, since=1.0, signals_leaving=True)
         if excuse == 'harmed':
-            site.nodes[1].harmed_at = 2.0
+            cluster.nodes[1].last_disrupted_at = 2.0
         since = 1.5 if excuse == 'early' else 10.0
         born = 200 if excuse == 'started' else 100
-        reached(site, 1, since=since, born=born, signals_leaving=True)
+        deliver(cluster, 1, since=since, born=born, signals_leaving=True)
 
-    assert not broken(act)
+    assert not find_violations(scenario)
--- a/libs/soak/tests/test_lag.py
+++ b/libs/soak/tests/test_lag.py
@@ -1,18 +1,18 @@
-"""The soak's measure of its own process."""
+"""The measurement of the event loop lag of the soak process."""
 
 import trio
 from trio.testing import MockClock, wait_all_tasks_blocked
 
-from verbenamill_soak.lag import Lag
+from verbenamill_soak.lag import EventLoopLag
 from verbenamill_soak.timeline import Timeline
 
 
 def test_a_standstill_of_the_soak_shows_in_its_report():
-    """Guards against daemons that are blamed for a soak that ran late."""
+    """Guards against blaming daemons for a lag of the soak process."""
 
     async def main():
         timeline = Timeline()
-        lag = Lag(timeline)
+        lag = EventLoopLag(timeline)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(lag.watch)
             await wait_all_tasks_blocked()
@@ -23,7 +23,7 @@
             nursery.cancel_scope.cancel()
         assert 0.9 < lag.worst < 1.1
         assert 0.9 < lag.total < 1.1
-        assert [one.text for one in timeline.moments] == [
+        assert [one.text for one in timeline.events] == [
             'the soak itself is 1.00 s late',
         ]
 
--- a/libs/soak/tests/test_ports.py
+++ b/libs/soak/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports for daemons that are started one after the other."""
+"""Allocation of ports for daemons that start one after the other."""
 
 import subprocess
 import sys
@@ -9,8 +9,8 @@
 BLOCK = ports._BLOCK
 
 
-def draw_elsewhere(first, last):
-    """Let another process draw a port of a range."""
+def allocate_elsewhere(first, last):
+    """Let another process allocate a port from a range."""
     program = (
         'from verbenamill_platform_standins import ports;'
         f'ports._FIRST = {first}; ports._LAST = {last};'
@@ -25,25 +25,25 @@
 
 
 def test_no_port_is_given_out_twice():
-    # Six daemons ask for ports before any of them listens. Two that got the
-    # same one would both be started, and the second one end with "address
-    # already in use": a run that is broken for no fault of the daemon.
-    given = [port for _ in range(100) for port in find_ports(5)]
-    assert len(set(given)) == len(given) == 500
+    # Six daemons get their ports before any of them listens. If two got the
+    # same port, the second one would exit with "address already in use", and
+    # the run would fail without a fault of the daemon.
+    allocated = [port for _ in range(100) for port in find_ports(5)]
+    assert len(set(allocated)) == len(allocated) == 500
 
 
 def test_no_port_is_given_out_in_two_processes():
-    """Guards against daemons of one run that get requests of another.
+    """Guards against daemons that get the requests of another run.
 
-    A daemon is down for a while, and another run's daemon takes its port.
+    While a daemon is down, a daemon of another run could take its port.
     """
     for first in {port // BLOCK * BLOCK for port in find_ports(40)}:
-        drawn = draw_elsewhere(first, first + BLOCK)
-        assert drawn.returncode == 1
-        assert drawn.stderr.strip().endswith('are in use')
+        result = allocate_elsewhere(first, first + BLOCK)
+        assert result.returncode == 1
+        assert result.stderr.strip().endswith('are in use')
 
 
 def test_another_process_has_ports_of_its_own():
-    drawn = draw_elsewhere(ports._FIRST, ports._LAST)
-    assert drawn.returncode == 0, drawn.stderr
-    assert int(drawn.stdout) not in ports._untried
+    result = allocate_elsewhere(ports._FIRST, ports._LAST)
+    assert result.returncode == 0, result.stderr
+    assert int(result.stdout) not in ports._untried
--- a/libs/soak/tests/test_relays.py
+++ b/libs/soak/tests/test_relays.py
@@ -1,17 +1,17 @@
-"""Relays hold what is new and pass on what is under way."""
+"""Relays hold new connections and datagrams but serve open connections."""
 
 import socket
 
 import trio
 from trio.testing import MockClock
 
-from verbenamill_soak.relays import Switch, TcpRelay, UdpRelay
+from verbenamill_soak.relays import LinkControl, TcpRelay, UdpRelay
 
 HOST = '127.0.0.1'
-#: Well below the second after which a kernel asks again for a connection.
-MOMENT = 0.3
-#: What the kernel and the relay take in although they hold.
-HELD = 3
+#: Well below the second after which a kernel retries a connection.
+SHORT_WAIT_S = 0.3
+#: Maximum number of connections that the kernel and the relay accept in a hold.
+MAX_ACCEPTED = 3
 
 
 async def echo(stream):
@@ -27,31 +27,31 @@
 
 
 def test_new_connections_are_held_and_open_ones_work():
-    # As on a link that is full: the open connection answers at once. The
-    # first new ones seem to come about, since the kernel takes them, and
-    # bring nothing; the next do not come about before the hold ends.
+    # The relay behaves like a saturated link: an open connection works. The
+    # first new connections are established, since the kernel accepts them, but
+    # transfer no data; further ones are established only after the hold.
     async def main():
-        switch = Switch()
+        link = LinkControl()
         async with trio.open_nursery() as nursery:
             listeners = await trio.open_tcp_listeners(0, host=HOST)
             port = listeners[0].socket.getsockname()[1]
             nursery.start_soon(trio.serve_listeners, echo, listeners)
-            relay = TcpRelay(switch, f'{HOST}:{port}')
+            relay = TcpRelay(link, f'{HOST}:{port}')
             await nursery.start(relay.serve)
             port = int(relay.address.rpartition(':')[2])
             kept = await trio.open_tcp_stream(HOST, port)
             await ask(kept)
-            switch.hold(holds=True)
+            link.set_holding(is_holding=True)
             opened = []
-            for _ in range(HELD + 1):
-                with trio.move_on_after(MOMENT):
+            for _ in range(MAX_ACCEPTED + 1):
+                with trio.move_on_after(SHORT_WAIT_S):
                     opened.append(await trio.open_tcp_stream(HOST, port))
-            assert len(opened) <= HELD
+            assert len(opened) <= MAX_ACCEPTED
             await ask(kept)
-            with trio.move_on_after(MOMENT) as waits:
+            with trio.move_on_after(SHORT_WAIT_S) as wait:
                 await ask(opened[0])
-            assert waits.cancelled_caught
-            switch.hold(holds=False)
+            assert wait.cancelled_caught
+            link.set_holding(is_holding=False)
             with trio.fail_after(5):
                 assert await opened[0].receive_some(1) == b'?'
             await ask(await trio.open_tcp_stream(HOST, port))
@@ -60,24 +60,24 @@
     trio.run(main)
 
 
-def test_datagrams_are_held_and_come_late():
+def test_held_datagrams_are_delivered_after_the_hold():
     async def main():
-        switch = Switch()
+        link = LinkControl()
         target = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         await target.bind((HOST, 0))
-        relay = UdpRelay(switch, f'{HOST}:{target.getsockname()[1]}')
+        relay = UdpRelay(link, f'{HOST}:{target.getsockname()[1]}')
         relay.bind()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(relay.serve)
             source = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            switch.hold(holds=True)
+            link.set_holding(is_holding=True)
             to = (HOST, int(relay.address.rpartition(':')[2]))
             for data in (b'1', b'2'):
                 await source.sendto(data, to)
-            with trio.move_on_after(MOMENT) as waits:
+            with trio.move_on_after(SHORT_WAIT_S) as wait:
                 await target.recv(1)
-            assert waits.cancelled_caught
-            switch.hold(holds=False)
+            assert wait.cancelled_caught
+            link.set_holding(is_holding=False)
             with trio.fail_after(5):
                 assert [await target.recv(1) for _ in range(2)] == [b'1', b'2']
             nursery.cancel_scope.cancel()
@@ -86,17 +86,17 @@
 
 
 def test_delays_of_datagrams_do_not_add_up():
-    """Guards against a backlog that makes all of a fleet's news late."""
+    """Guards against a backlog that delays all datagrams of a fleet."""
 
     async def main():
-        switch = Switch()
+        link = LinkControl()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as target:
             target.bind((HOST, 0))
             target.setblocking(False)
-            relay = UdpRelay(switch, f'{HOST}:{target.getsockname()[1]}')
+            relay = UdpRelay(link, f'{HOST}:{target.getsockname()[1]}')
             relay.bind()
             port = int(relay.address.rpartition(':')[2])
-            switch.delay = MOMENT
+            link.delay = SHORT_WAIT_S
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(relay.serve)
                 with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as near:
@@ -106,7 +106,7 @@
                     for _ in range(20):
                         await trio.lowlevel.wait_readable(target)
                         target.recv(1)
-                    assert trio.current_time() - began < 2 * MOMENT
+                    assert trio.current_time() - began < 2 * SHORT_WAIT_S
                 nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0.01))
