--- a/libs/soak/src/verbenamill_soak/callers.py
+++ b/libs/soak/src/verbenamill_soak/callers.py
@@ -56,6 +56,7 @@
     """One request and the outcome that its caller observed.
 
     :param daemon_start: number of the daemon start that received the request.
+    :param is_fee: whether the request is not idempotent.
     """
 
     id: str
--- a/libs/soak/src/verbenamill_soak/deadly_request.py
+++ b/libs/soak/src/verbenamill_soak/deadly_request.py
@@ -50,8 +50,8 @@
         ]
         involved_nodes = (owner, *ingresses)
         is_fault_free = all(
-            self._cluster.is_fault_free(node, at - _BLOCK_LIMIT_S)
-            for node in involved_nodes
+            self._cluster.is_fault_free(involved, at - _BLOCK_LIMIT_S)
+            for involved in involved_nodes
         )
         self._executions.append(_Execution(id, at, is_fault_free))
 
--- a/libs/soak/src/verbenamill_soak/fault_injection.py
+++ b/libs/soak/src/verbenamill_soak/fault_injection.py
@@ -120,9 +120,9 @@
                 mode = (LinkMode.REFUSED, LinkMode.SILENT, LinkMode.ONE_WAY)[
                     fault.random_value % 3
                 ]
-                node.store_link.set(mode)
+                node.store_link.set_mode(mode)
                 await trio.sleep(fault.duration)
-                node.store_link.set(LinkMode.OPEN)
+                node.store_link.set_mode(LinkMode.OPEN)
             case _:
                 await self._inject_link_fault(fault, node)
 
@@ -137,15 +137,15 @@
                 return
             case FaultKind.SILENT_UPSTREAM:
                 link = node.upstream_link
-                link.set(LinkMode.SILENT)
+                link.set_mode(LinkMode.SILENT)
             case FaultKind.CUT_PEERS:
-                link.set(
+                link.set_mode(
                     LinkMode.SILENT
                     if fault.random_value % 2
                     else LinkMode.REFUSED
                 )
             case FaultKind.CUT_ONE_WAY:
-                link.set(LinkMode.ONE_WAY)
+                link.set_mode(LinkMode.ONE_WAY)
             case FaultKind.LATE_PEERS:
                 await self._hold_peer_link(fault, node)
                 return
@@ -153,7 +153,7 @@
                 link.delay = 0.05 + fault.random_value % 100 / 1000
         await trio.sleep(fault.duration)
         link.delay = 0
-        link.set(LinkMode.OPEN)
+        link.set_mode(LinkMode.OPEN)
 
     def _crash_upstream(self, node: Node) -> None:
         if node.is_serving(node.upstream):
--- a/libs/soak/src/verbenamill_soak/guarantees.py
+++ b/libs/soak/src/verbenamill_soak/guarantees.py
@@ -26,7 +26,7 @@
 #: Time between two checks of new records.
 _CHECK_PERIOD_S = 0.2
 #: Statuses which guarantee that a request was not and will not be executed.
-_NOT_RUN = frozenset((408, 421, 429, 503))
+_NOT_EXECUTED = frozenset((408, 421, 429, 503))
 _NOT_FOUND = 404
 #: Reason in the body of a response to a blocked request.
 _BLOCKED_REASON = b'upstreams crashed under this request'
@@ -158,13 +158,13 @@
     def _check_record(self, record: RequestRecord) -> None:
         if record.is_fee:
             self._fees[record.id] = record
-            if record.status in _NOT_RUN:
+            if record.status in _NOT_EXECUTED:
                 self._refused[record.id] = record
             if record.id in self._instances_by_request:
                 self._check_repetition(record.id)
         match record.outcome:
             case Outcome.CUT:
-                self._check_cut(record)
+                self._check_lost_connection(record)
             case Outcome.NO_ANSWER:
                 if not self._was_disrupted(record):
                     self._report_violation(
@@ -196,7 +196,7 @@
                 'who leaves in band gets no work', record.id, text
             )
 
-    def _check_cut(self, record: RequestRecord) -> None:
+    def _check_lost_connection(self, record: RequestRecord) -> None:
         """Check that each executed request was answered, also at planned stops.
 
         A request sent while the daemon closed the connection was not
--- a/libs/soak/src/verbenamill_soak/plan.py
+++ b/libs/soak/src/verbenamill_soak/plan.py
@@ -68,7 +68,8 @@
         FaultKind.ORDER,
     ),
 )
-#: Relative frequency of kinds; all others have weight 1.
+#: Relative frequency of kinds, 1 for all others; configuration changes come
+#: most often.
 _WEIGHTS = {FaultKind.CONFIGURE: 4, FaultKind.STOP: 2, FaultKind.DRAIN: 2}
 #: Kinds with their own random generators, so that older seeds still generate
 #: the same faults of the other kinds.
--- a/libs/soak/src/verbenamill_soak/relays.py
+++ b/libs/soak/src/verbenamill_soak/relays.py
@@ -54,7 +54,7 @@
         self._connection_scopes: set[trio.CancelScope] = set()
         self._streams: set[trio.SocketStream] = set()
 
-    def set(self, mode: LinkMode) -> None:
+    def set_mode(self, mode: LinkMode) -> None:
         """Change the mode and wake the tasks that wait for a change."""
         if mode is not self.mode:
             self._last_disrupted_at = trio.current_time()
--- a/libs/soak/src/verbenamill_soak/run.py
+++ b/libs/soak/src/verbenamill_soak/run.py
@@ -115,7 +115,7 @@
     newest = cluster.get_versions()[-1]
     for node in cluster.nodes:
         for link in (node.peer_link, node.store_link, node.upstream_link):
-            link.set(LinkMode.OPEN)
+            link.set_mode(LinkMode.OPEN)
     problems: dict[str, str] = {}
 
     async def check_node(node: Node) -> None:
--- a/libs/soak/tests/test_guarantees.py
+++ b/libs/soak/tests/test_guarantees.py
@@ -379,12 +379,12 @@
 
 
 def silence_link(node):
-    node.peer_link.set(LinkMode.SILENT)
+    node.peer_link.set_mode(LinkMode.SILENT)
 
 
 def silence_and_restore(node):
-    node.peer_link.set(LinkMode.SILENT)
-    node.peer_link.set(LinkMode.OPEN)
+    node.peer_link.set_mode(LinkMode.SILENT)
+    node.peer_link.set_mode(LinkMode.OPEN)
 
 
 def reset_link(node):
@@ -574,7 +574,7 @@
         if excuse == 'harmed':
             cluster.nodes[1].last_disrupted_at = 100.0
         if excuse == 'cut':
-            cluster.nodes[1].peer_link.set(LinkMode.REFUSED)
+            cluster.nodes[1].peer_link.set_mode(LinkMode.REFUSED)
         deliver(cluster, 100, limit=None if excuse == 'untold' else 2)
 
     assert not find_violations(scenario)
--- a/libs/soak/tests/test_relays.py
+++ b/libs/soak/tests/test_relays.py
@@ -39,15 +39,15 @@
             relay = TcpRelay(link, f'{HOST}:{port}')
             await nursery.start(relay.serve)
             port = int(relay.address.rpartition(':')[2])
-            kept = await trio.open_tcp_stream(HOST, port)
-            await ask(kept)
+            established = await trio.open_tcp_stream(HOST, port)
+            await ask(established)
             link.set_holding(is_holding=True)
             opened = []
             for _ in range(MAX_ACCEPTED + 1):
                 with trio.move_on_after(SHORT_WAIT_S):
                     opened.append(await trio.open_tcp_stream(HOST, port))
             assert len(opened) <= MAX_ACCEPTED
-            await ask(kept)
+            await ask(established)
             with trio.move_on_after(SHORT_WAIT_S) as wait:
                 await ask(opened[0])
             assert wait.cancelled_caught
@@ -69,11 +69,11 @@
         relay.bind()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(relay.serve)
-            source = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+            sender = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             link.set_holding(is_holding=True)
-            to = (HOST, int(relay.address.rpartition(':')[2]))
+            relay_address = (HOST, int(relay.address.rpartition(':')[2]))
             for data in (b'1', b'2'):
-                await source.sendto(data, to)
+                await sender.sendto(data, relay_address)
             with trio.move_on_after(SHORT_WAIT_S) as wait:
                 await target.recv(1)
             assert wait.cancelled_caught
@@ -99,14 +99,14 @@
             link.delay = SHORT_WAIT_S
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(relay.serve)
-                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as near:
+                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
                     for number in range(20):
-                        near.sendto(bytes([number]), (HOST, port))
-                    began = trio.current_time()
+                        sender.sendto(bytes([number]), (HOST, port))
+                    started_at = trio.current_time()
                     for _ in range(20):
                         await trio.lowlevel.wait_readable(target)
                         target.recv(1)
-                    assert trio.current_time() - began < 2 * SHORT_WAIT_S
+                    assert trio.current_time() - started_at < 2 * SHORT_WAIT_S
                 nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=0.01))
