--- a/libs/cli/src/verbenamill_cli/trail.py
+++ b/libs/cli/src/verbenamill_cli/audit_stream.py
@@ -8,7 +8,7 @@
 
 from verbenamill_cli.errors import CliError
 from verbenamill_cli.history import History, read_history
-from verbenamill_cli.patience import PatientLog, unavailable
+from verbenamill_cli.retrying_log import PatientLog, unavailable
 from verbenamill_cli.results import and_then
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import LogError, LogFault
--- a/libs/cli/src/verbenamill_cli/history.py
+++ b/libs/cli/src/verbenamill_cli/history.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Result, Success
 
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.patience import PatientLog, unavailable
+from verbenamill_cli.retrying_log import PatientLog, unavailable
 from verbenamill_cli.results import and_then
 from verbenamill_mesh import Configuration
 from verbenamill_mesh.checkpoints import CheckpointRecord
--- a/libs/cli/src/verbenamill_cli/main.py
+++ b/libs/cli/src/verbenamill_cli/main.py
@@ -8,7 +8,7 @@
 from verbenamill_cli.audit import build_trail, report_trail, select
 from verbenamill_cli.checks import check_file
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.explain import explain
+from verbenamill_cli.request_trace import explain
 from verbenamill_cli.fleet_commands import app as fleet_app
 from verbenamill_cli.history import read_history
 from verbenamill_cli.move_commands import app as move_app
@@ -23,10 +23,10 @@
     run_with_log,
 )
 from verbenamill_cli.output import Report, finish, print_report
-from verbenamill_cli.patience import PatientLog
+from verbenamill_cli.retrying_log import PatientLog
 from verbenamill_cli.status_command import status
 from verbenamill_cli.ticket_commands import app as ticket_app
-from verbenamill_cli.trail import Records, read_records
+from verbenamill_cli.audit_stream import Records, read_records
 from verbenamill_cli.verdicts import (
     Follower,
     report_verdict,
--- a/libs/cli/src/verbenamill_cli/move_commands.py
+++ b/libs/cli/src/verbenamill_cli/move_commands.py
@@ -19,9 +19,14 @@
     run_with_log,
 )
 from verbenamill_cli.output import finish
-from verbenamill_cli.patience import PatientLog
-from verbenamill_cli.story import Story, ask_daemon, find_story, report_story
-from verbenamill_cli.trail import read_records
+from verbenamill_cli.retrying_log import PatientLog
+from verbenamill_cli.move_timeline import (
+    Story,
+    ask_daemon,
+    find_story,
+    report_story,
+)
+from verbenamill_cli.audit_stream import read_records
 from verbenamill_model import AuditEntry, Move
 from verbenamill_model.typing import Offset
 
--- a/libs/cli/src/verbenamill_cli/options.py
+++ b/libs/cli/src/verbenamill_cli/options.py
@@ -12,7 +12,7 @@
 from verbenamill_cli.environment import Environment, need_url
 from verbenamill_cli.errors import CliError
 from verbenamill_cli.output import Report
-from verbenamill_cli.patience import PatientLog
+from verbenamill_cli.retrying_log import PatientLog
 from verbenamill_runtime import Log
 
 LOG_VARIABLE = 'VERBENAMILL_LOG'
--- a/libs/cli/src/verbenamill_cli/publish.py
+++ b/libs/cli/src/verbenamill_cli/publish.py
@@ -12,7 +12,7 @@
 
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.history import History, Step, read_history
-from verbenamill_cli.patience import PatientLog, unavailable
+from verbenamill_cli.retrying_log import PatientLog, unavailable
 from verbenamill_cli.results import and_then
 from verbenamill_model import (
     Answer,
--- a/libs/cli/src/verbenamill_cli/ticket_commands.py
+++ b/libs/cli/src/verbenamill_cli/ticket_commands.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from verbenamill_cli.differences import diff
+from verbenamill_cli.ticket_diff import diff
 from verbenamill_cli.history import History, read_history
 from verbenamill_cli.options import (
     DEFAULT_TIMEOUT,
@@ -17,9 +17,9 @@
     run_with_log,
 )
 from verbenamill_cli.output import Report, finish
-from verbenamill_cli.patience import PatientLog
+from verbenamill_cli.retrying_log import PatientLog
 from verbenamill_cli.publish import publish
-from verbenamill_cli.published import show
+from verbenamill_cli.ticket_lookup import show
 from verbenamill_cli.tickets import (
     check_form,
     load_ticket,
--- a/libs/cli/src/verbenamill_cli/tickets.py
+++ b/libs/cli/src/verbenamill_cli/tickets.py
@@ -5,7 +5,7 @@
 
 from returns.result import Failure, Result, Success
 
-from verbenamill_cli.differences import diff
+from verbenamill_cli.ticket_diff import diff
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.history import History
 from verbenamill_cli.output import Report, show_time
--- a/libs/cli/src/verbenamill_cli/verdicts.py
+++ b/libs/cli/src/verbenamill_cli/verdicts.py
@@ -9,7 +9,7 @@
 
 from verbenamill_cli.history import History, read_history
 from verbenamill_cli.output import Report, show_time, table
-from verbenamill_cli.patience import FIRST_WAIT, LONGEST_WAIT, PatientLog
+from verbenamill_cli.retrying_log import FIRST_WAIT, LONGEST_WAIT, PatientLog
 from verbenamill_model import Verdict
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, full_jitter
--- a/libs/cli/tests/test_explain.py
+++ b/libs/cli/tests/test_explain.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.explain import read_lines, report_story, tell_story
+from verbenamill_cli.request_trace import read_lines, report_story, tell_story
 
 
 def line(second, source, code, message, **fields):
--- a/libs/cli/tests/test_publish_faults.py
+++ b/libs/cli/tests/test_publish_faults.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.patience import PatientLog
+from verbenamill_cli.retrying_log import PatientLog
 from verbenamill_cli.publish import publish
 from verbenamill_model import (
     Applied,
