--- a/libs/cli/src/verbenamill_cli/__init__.py
+++ b/libs/cli/src/verbenamill_cli/__init__.py
@@ -1,1 +1,1 @@
-"""verbenamill, the operators' command line."""
+"""``verbenamill``, the command line tool of the operators."""
--- a/libs/cli/src/verbenamill_cli/audit.py
+++ b/libs/cli/src/verbenamill_cli/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: who changed what, when, by which ticket and move."""
+"""The audit trail: who changed what, when, and by which ticket and move."""
 
 from collections.abc import Iterator
 from datetime import datetime
@@ -6,21 +6,20 @@
 from msgspec import Struct
 
 from verbenamill_cli.history import History
-from verbenamill_cli.output import Report, show_time, table
+from verbenamill_cli.output import Report, format_table, format_time
 from verbenamill_model import Move
 from verbenamill_model.typing import Offset, TicketNumber
 from verbenamill_runtime.streams import AuditLine
 
+#: Sort key of entries without an offset. It is above every offset.
+AFTER_ALL_OFFSETS = 1 << 63
 
-#: Above every offset, for entries that have none.
-MAX_OFFSET = 1 << 63
 
+class AuditTrailEntry(Struct, frozen=True, kw_only=True):
+    """One event of the audit trail.
 
-class TrailEntry(Struct, frozen=True, kw_only=True):
-    """One thing that happened.
-
-    :param who: author of a ticket, or the daemon that decided.
-    :param offset: record of the configuration, ``None`` for a step.
+    :param who: author of a ticket, or the daemon that made the decision.
+    :param offset: offset of the configuration record; ``None`` for a step.
     """
 
     at: datetime
@@ -31,33 +30,33 @@
     move: Offset | None = None
 
 
-class Trail(Struct, frozen=True, kw_only=True):
-    """What ``audit`` answers.
+class AuditTrail(Struct, frozen=True, kw_only=True):
+    """The entries that ``audit`` shows.
 
-    :param since: time from which nothing is missing; ``None`` when it
+    :param since: time from which the trail is complete; ``None`` when it
         reaches back to the first record.
     """
 
     since: datetime | None
-    entries: tuple[TrailEntry, ...]
+    entries: tuple[AuditTrailEntry, ...]
 
 
-def build_trail(history: History, lines: list[AuditLine]) -> Trail:
-    """Join changes, refusals, verdicts and steps in the order of time."""
-    moves = {move.id: move for move in known_moves(history)}
+def build_audit_trail(history: History, lines: list[AuditLine]) -> AuditTrail:
+    """Merge changes, refusals, verdicts and steps in chronological order."""
+    moves = {move.id: move for move in list_known_moves(history)}
     entries = (
-        *_changes(history),
-        *_refusals(history),
-        *(_step(line, moves.get(line.move)) for line in lines),
+        *_list_changes(history),
+        *_list_refusals(history),
+        *(_convert_step(line, moves.get(line.move)) for line in lines),
     )
-    return Trail(
+    return AuditTrail(
         since=_complete_since(history),
         entries=tuple(sorted(entries, key=_time_of)),
     )
 
 
-def known_moves(history: History) -> Iterator[Move]:
-    """Running moves, and those whose verdict is known."""
+def list_known_moves(history: History) -> Iterator[Move]:
+    """Yield running moves, then those whose verdict is known."""
     for known in history.state.snapshot.services.values():
         if known.move is not None:
             yield known.move
@@ -66,23 +65,23 @@
 
 
 def _complete_since(history: History) -> datetime | None:
-    if history.is_whole or not history.base.audit:
+    if history.is_complete or not history.base.audit:
         return None
     return history.base.audit[0].at
 
 
-def _changes(history: History) -> Iterator[TrailEntry]:
-    endings = {verdict.offset: verdict for verdict in history.verdicts()}
-    begun = {move.id for move in known_moves(history)}
+def _list_changes(history: History) -> Iterator[AuditTrailEntry]:
+    verdicts = {known.offset: known for known in history.verdicts()}
+    move_offsets = {move.id for move in list_known_moves(history)}
     for line in history.audit():
         text, move = line.text, None
-        ending = endings.get(line.offset)
-        if line.offset in begun:
+        verdict = verdicts.get(line.offset)
+        if line.offset in move_offsets:
             move = line.offset
-        elif ending is not None:
-            move = ending.move.id
-            text = f'{text}: {ending.reason}'
-        yield TrailEntry(
+        elif verdict is not None:
+            move = verdict.move.id
+            text = f'{text}: {verdict.reason}'
+        yield AuditTrailEntry(
             at=line.at,
             who=line.author,
             text=text,
@@ -92,9 +91,9 @@
         )
 
 
-def _refusals(history: History) -> Iterator[TrailEntry]:
+def _list_refusals(history: History) -> Iterator[AuditTrailEntry]:
     for refusal in history.refusals():
-        yield TrailEntry(
+        yield AuditTrailEntry(
             at=refusal.at,
             who='-',
             text=f'refused: {refusal.reason}',
@@ -103,8 +102,8 @@
         )
 
 
-def _step(line: AuditLine, move: Move | None) -> TrailEntry:
-    return TrailEntry(
+def _convert_step(line: AuditLine, move: Move | None) -> AuditTrailEntry:
+    return AuditTrailEntry(
         at=line.at,
         who=line.vm,
         text=f'{line.service}: {line.text}',
@@ -113,36 +112,41 @@
     )
 
 
-def _time_of(entry: TrailEntry) -> tuple[datetime, int]:
-    # A step follows the record of the same moment that made it possible.
-    return entry.at, MAX_OFFSET if entry.offset is None else entry.offset
+def _time_of(entry: AuditTrailEntry) -> tuple[datetime, int]:
+    # A step comes after the record with the same time that caused it.
+    return entry.at, AFTER_ALL_OFFSETS if entry.offset is None else entry.offset
 
 
-def select(
-    trail: Trail,
+def filter_trail(
+    trail: AuditTrail,
     *,
     ticket: int | None,
     text: str,
     last: int,
-) -> Trail:
-    """Entries that an operator asked for.
+) -> AuditTrail:
+    """Select the entries that an operator asked for.
 
-    :param last: the newest so many; 0 for all.
+    :param ticket: number of the ticket; ``None`` selects all tickets.
+    :param text: part of the text or author of an entry.
+    :param last: number of newest entries; 0 selects all.
     """
-    wanted = tuple(
+    selected = tuple(
         entry
         for entry in trail.entries
         if (ticket is None or entry.ticket == ticket)
         and (text in entry.text or text in entry.who)
     )
-    return Trail(since=trail.since, entries=wanted[-last:] if last else wanted)
+    return AuditTrail(
+        since=trail.since,
+        entries=selected[-last:] if last else selected,
+    )
 
 
-def report_trail(trail: Trail) -> Report:
-    """Show the trail, newest last."""
+def format_trail(trail: AuditTrail) -> Report:
+    """Format the trail as a table, newest last."""
     rows = (
         (
-            show_time(entry.at),
+            format_time(entry.at),
             _or_dash(entry.offset),
             _or_dash(entry.ticket),
             _or_dash(entry.move),
@@ -155,12 +159,14 @@
     if trail.since is not None:
         notes = (
             f'older records have expired; complete since '
-            f'{show_time(trail.since)}',
+            f'{format_time(trail.since)}',
         )
     return Report(
         data=trail,
         lines=(
-            *table(('TIME', 'RECORD', 'TICKET', 'MOVE', 'WHO', 'WHAT'), rows),
+            *format_table(
+                ('TIME', 'RECORD', 'TICKET', 'MOVE', 'WHO', 'WHAT'), rows
+            ),
             *notes,
         ),
     )
--- a/libs/cli/src/verbenamill_cli/audit_stream.py
+++ b/libs/cli/src/verbenamill_cli/audit_stream.py
@@ -1,4 +1,4 @@
-"""The audit stream: the steps that deciders noted for each move."""
+"""Reader of the audit stream, which holds the steps of each move."""
 
 from datetime import datetime
 
@@ -8,63 +8,72 @@
 
 from verbenamill_cli.errors import CliError
 from verbenamill_cli.history import History, read_history
-from verbenamill_cli.retrying_log import PatientLog, unavailable
-from verbenamill_cli.results import and_then
+from verbenamill_cli.results import bind_async
+from verbenamill_cli.retrying_log import RetryingLog, log_unavailable
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import LogError, LogFault
 from verbenamill_runtime.streams import AUDIT_STREAM, AuditLine
 
 
-class Records(Struct, frozen=True, kw_only=True):
-    """Everything that the log tells of changes and moves."""
+class LogRecords(Struct, frozen=True, kw_only=True):
+    """All records of the log about changes and moves.
+
+    :param lines: steps from the audit stream.
+    """
 
     history: History
     lines: list[AuditLine]
 
 
-async def read_records(
-    log: PatientLog,
+async def read_log_records(
+    log: RetryingLog,
     *,
-    farthest: bool,
-) -> Result[Records, CliError]:
+    from_oldest: bool,
+) -> Result[LogRecords, CliError]:
     """Read the configuration and the audit stream.
 
-    :param farthest: as far back as the log goes.
+    :param from_oldest: read the configuration as far back as the log allows.
     """
 
-    async def add_lines(history: History) -> Result[Records, CliError]:
-        lines = await read_trail(log)
-        return lines.map(lambda found: Records(history=history, lines=found))
+    async def add_lines(history: History) -> Result[LogRecords, CliError]:
+        lines = await read_audit_stream(log)
+        return lines.map(lambda steps: LogRecords(history=history, lines=steps))
 
-    history = await read_history(log, farthest=farthest)
-    return await and_then(history, add_lines)
+    history = await read_history(log, from_oldest=from_oldest)
+    return await bind_async(history, add_lines)
 
 
-async def read_trail(log: PatientLog) -> Result[list[AuditLine], CliError]:
-    """Read the steps of all moves, oldest first and each once.
+async def read_audit_stream(
+    log: RetryingLog,
+) -> Result[list[AuditLine], CliError]:
+    """Read the steps of all moves, oldest first, without duplicates.
 
-    A daemon that lost the answer of an append writes its line again, so
-    equal lines are one step.
+    A daemon that lost the answer to an append writes the line again, so equal
+    lines represent one step.
     """
-    kept: dict[AuditLine, None] = {}
+    unique_lines: dict[AuditLine, None] = {}
     start = Offset(0)
     while True:
         match await log.read(AUDIT_STREAM, start):
             case Success(page):
-                lines = (read_line(entry.body) for entry in page.entries)
-                kept.update((line, None) for line in lines if line is not None)
+                lines = (
+                    decode_audit_line(entry.body) for entry in page.entries
+                )
+                unique_lines.update(
+                    (line, None) for line in lines if line is not None
+                )
             case Failure(LogError(fault=LogFault.EXPIRED) as expired):
                 start = expired.oldest or start
                 continue
             case Failure(error):
-                return Failure(unavailable(error))
+                return Failure(log_unavailable(error))
         if not page.entries:
-            return Success(sorted(kept, key=_time_of))
+            return Success(sorted(unique_lines, key=_time_of))
         start = Offset(page.entries[-1].offset + 1)
 
 
-def read_line(body: bytes) -> AuditLine | None:
-    """A step, or ``None`` for a record that is none."""
+def decode_audit_line(body: bytes) -> AuditLine | None:
+    """Decode a step; ``None`` when the record is malformed."""
     try:
         return msgspec.json.decode(body, type=AuditLine)
     except msgspec.MsgspecError:
--- a/libs/cli/src/verbenamill_cli/checks.py
+++ b/libs/cli/src/verbenamill_cli/checks.py
@@ -1,4 +1,4 @@
-"""``config check``: a settings file checked by the daemon's own code."""
+"""``config check``: checks a settings file with the daemon's own code."""
 
 from pathlib import Path
 
@@ -9,10 +9,10 @@
 from verbenamill_runtime.settings import Settings, load_settings
 
 
-def check_file(path: Path) -> Result[Report, CliError]:
-    """Check a settings file whole."""
+def check_settings_file(path: Path) -> Result[Report, CliError]:
+    """Check a settings file and report all of its faults."""
 
-    def accept(settings: Settings) -> Report:
+    def report_valid(settings: Settings) -> Report:
         return Report(
             data={'file': str(path), 'valid': True},
             lines=(
@@ -21,7 +21,7 @@
             ),
         )
 
-    def refuse(faults: tuple[str, ...]) -> CliError:
+    def report_faults(faults: tuple[str, ...]) -> CliError:
         return CliError(
             code=ExitCode.FAULTY,
             message=f'{path}: {len(faults)} to correct',
@@ -29,4 +29,4 @@
             faults=faults,
         )
 
-    return load_settings(path).map(accept).alt(refuse)
+    return load_settings(path).map(report_valid).alt(report_faults)
--- a/libs/cli/src/verbenamill_cli/daemons.py
+++ b/libs/cli/src/verbenamill_cli/daemons.py
@@ -1,4 +1,4 @@
-"""Questions to the daemons' admin API."""
+"""Client of the daemons' admin API."""
 
 from collections.abc import Iterable
 from typing import Any, TypeVar
@@ -14,17 +14,18 @@
 from verbenamill_model.traffic import Member
 from verbenamill_model.typing import AvailabilityZone, VmId
 
-#: Daemons that are asked at a time. More would not be faster on the
-#: operator's machine and would open thousands of sockets at once.
-CONCURRENCY = 64
-#: Daemons of an availability zone that are asked for its members.
-MAX_TRIES = 2
+#: Daemons that are queried concurrently. A higher limit would not be faster on
+#: the operator's machine and would open thousands of sockets at once.
+MAX_CONCURRENT_REQUESTS = 64
+#: Daemons of one availability zone that are asked for its members until one
+#: answers.
+MAX_ATTEMPTS_PER_ZONE = 2
 
-Answered = TypeVar('Answered')
+Response = TypeVar('Response')
 
 
-class Surveyed(Struct, frozen=True, kw_only=True):
-    """One daemon, and its answer or why there is none."""
+class SurveyedDaemon(Struct, frozen=True, kw_only=True):
+    """One daemon, and its status or the reason why there is none."""
 
     member: Member
     answer: Status | str
@@ -33,11 +34,14 @@
 async def fetch(
     client: httpx.AsyncClient,
     url: str,
-    kind: type[Answered],
-) -> Result[Answered, str]:
-    """Ask a daemon; a failure says why in a few words."""
+    kind: type[Response],
+) -> Result[Response, str]:
+    """Fetch and decode a JSON document from a daemon.
+
+    A failure holds the end of a sentence that begins with the daemon.
+    """
     body = await _get(client, url)
-    return body.bind(lambda found: _decode(found, kind))
+    return body.bind(lambda content: _decode(content, kind))
 
 
 async def _get(client: httpx.AsyncClient, url: str) -> Result[bytes, str]:
@@ -54,7 +58,7 @@
     return Success(response.content)
 
 
-def _decode(body: bytes, kind: type[Answered]) -> Result[Answered, str]:
+def _decode(body: bytes, kind: type[Response]) -> Result[Response, str]:
     try:
         return Success(msgspec.json.decode(body, type=kind))
     except msgspec.MsgspecError as error:
@@ -65,41 +69,41 @@
     client: httpx.AsyncClient,
     url: str,
 ) -> Result[dict[VmId, Member], CliError]:
-    """All daemons that can be heard of, from one of them on.
+    """Find all daemons of the fleet, starting from one of them.
 
-    A daemon knows all of its own availability zone but only some of the
-    others, so one daemon of each zone is asked in turn, and a second one
-    when the first does not answer.
+    A daemon knows all members of its own availability zone but only some of
+    the other zones, so one daemon of each zone is asked in turn, and a second
+    one when the first does not answer.
 
     :param url: admin URL of any daemon.
     """
     members: dict[VmId, Member] = {}
     match await fetch(client, f'{url}/members', list[Member]):
-        case Success(found):
-            members = _by_id(found)
+        case Success(listed):
+            members = _by_id(listed)
         case Failure(reason):
-            return Failure(unreachable(url, reason))
-    tries: dict[AvailabilityZone, int] = {}
+            return Failure(daemon_unavailable(url, reason))
+    attempts: dict[AvailabilityZone, int] = {}
     asked: set[VmId] = set()
     while True:
-        candidate = _next_to_ask(members, asked, tries)
+        candidate = _next_candidate(members, asked, attempts)
         if candidate is None:
             return Success(members)
         asked.add(candidate.id)
         zone = candidate.availability_zone
         address = f'http://{candidate.admin}/members'
         match await fetch(client, address, list[Member]):
-            case Success(found):
-                members = _by_id(found) | members
-                tries[zone] = MAX_TRIES
+            case Success(listed):
+                members = _by_id(listed) | members
+                attempts[zone] = MAX_ATTEMPTS_PER_ZONE
             case Failure(_):
-                tries[zone] = tries.get(zone, 0) + 1
+                attempts[zone] = attempts.get(zone, 0) + 1
 
 
-def _next_to_ask(
+def _next_candidate(
     members: dict[VmId, Member],
     asked: set[VmId],
-    tries: dict[AvailabilityZone, int],
+    attempts: dict[AvailabilityZone, int],
 ) -> Member | None:
     return next(
         (
@@ -107,7 +111,8 @@
             for member in members.values()
             if member.admin
             and member.id not in asked
-            and tries.get(member.availability_zone, 0) < MAX_TRIES
+            and attempts.get(member.availability_zone, 0)
+            < MAX_ATTEMPTS_PER_ZONE
         ),
         None,
     )
@@ -117,8 +122,11 @@
     return {member.id: member for member in members}
 
 
-def unreachable(url: str, reason: str) -> CliError:
-    """Error for a daemon that gave no usable answer."""
+def daemon_unavailable(url: str, reason: str) -> CliError:
+    """Error for a daemon that gave no usable answer.
+
+    :param reason: end of the sentence that begins with the daemon.
+    """
     return CliError(
         code=ExitCode.UNAVAILABLE,
         message=f'the daemon at {url} {reason}',
@@ -129,26 +137,26 @@
     )
 
 
-async def survey(
+async def query_daemons(
     client: httpx.AsyncClient,
     members: dict[VmId, Member],
-) -> list[Surveyed]:
-    """Ask every daemon for its status, a bounded number at a time."""
-    answers: list[Surveyed] = []
-    limiter = trio.CapacityLimiter(CONCURRENCY)
+) -> list[SurveyedDaemon]:
+    """Query the status of every daemon, with limited concurrency."""
+    answers: list[SurveyedDaemon] = []
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
-    async def ask(member: Member) -> None:
+    async def query(member: Member) -> None:
         async with limiter:
-            answer = await _ask_status(client, member)
-        answers.append(Surveyed(member=member, answer=answer))
+            answer = await _query_status(client, member)
+        answers.append(SurveyedDaemon(member=member, answer=answer))
 
     async with trio.open_nursery() as nursery:
         for member in members.values():
-            nursery.start_soon(ask, member)
-    return sorted(answers, key=_place)
+            nursery.start_soon(query, member)
+    return sorted(answers, key=_sort_key)
 
 
-async def _ask_status(
+async def _query_status(
     client: httpx.AsyncClient,
     member: Member,
 ) -> Status | str:
@@ -161,8 +169,8 @@
             return f'is {status.id} now: the address was taken over'
         case Failure(reason):
             return str(reason)
-    raise AssertionError('a result is a success or a failure')
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
-def _place(surveyed: Surveyed) -> tuple[Any, ...]:
-    return surveyed.member.availability_zone, surveyed.member.id
+def _sort_key(daemon: SurveyedDaemon) -> tuple[Any, ...]:
+    return daemon.member.availability_zone, daemon.member.id
--- a/libs/cli/src/verbenamill_cli/environment.py
+++ b/libs/cli/src/verbenamill_cli/environment.py
@@ -1,4 +1,4 @@
-"""What the commands reach the world by; tests put fakes in its place."""
+"""External dependencies of the commands, which tests replace by fakes."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -20,11 +20,11 @@
 OpenClient = Callable[[], httpx.AsyncClient]
 OpenStore = Callable[[Address], Result[Store, CliError]]
 
-#: Adapters to platforms enter themselves here when they are installed, so
-#: that the command line knows none by name.
+#: Entry point group in which installed platform adapters register their
+#: stores, so that the command line depends on no adapter by name.
 STORES_GROUP = 'verbenamill.stores'
 
-#: Time for one answer of a daemon.
+#: Timeout of one request to a daemon.
 DAEMON_TIMEOUT = timedelta(seconds=2)
 
 
@@ -45,10 +45,10 @@
 
 
 def _open_store(address: Address) -> Result[Store, CliError]:
-    found = tuple(entry_points(group=STORES_GROUP))
-    if len(found) == 1:
-        return Success(found[0].load()(address))
-    names = ', '.join(entry.name for entry in found) or 'none'
+    adapters = tuple(entry_points(group=STORES_GROUP))
+    if len(adapters) == 1:
+        return Success(adapters[0].load()(address))
+    names = ', '.join(entry.name for entry in adapters) or 'none'
     return Failure(
         CliError(
             code=ExitCode.USAGE,
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Environment:
-    """Log, daemons, time and chance."""
+    """Access to the log, daemons and store, the clock, and random numbers."""
 
     open_log: OpenLog = _open_log
     open_client: OpenClient = _open_client
@@ -69,8 +69,10 @@
     random: Random = SystemRandom()
 
 
-def need_url(url: str, *, option: str, variable: str) -> Result[str, CliError]:
-    """Check that a URL was given, and that it is one."""
+def require_url(
+    url: str, *, option: str, variable: str
+) -> Result[str, CliError]:
+    """Check that an HTTP URL was given, and strip trailing slashes."""
     if not url:
         return Failure(
             CliError(
--- a/libs/cli/src/verbenamill_cli/errors.py
+++ b/libs/cli/src/verbenamill_cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the command line, and the exit codes they end in."""
+"""Errors of the command line and exit codes of the commands."""
 
 from enum import IntEnum, unique
 
@@ -7,10 +7,10 @@
 
 @unique
 class ExitCode(IntEnum):
-    """How a command ended, for scripts.
+    """Outcome of a command, for scripts.
 
-    ``UNKNOWN`` is the only one after which a ticket may be on the log
-    although the command failed; the same command may be run again.
+    ``UNKNOWN`` is the only failure after which a ticket may be on the log.
+    Running the same command again is safe.
     """
 
     OK = 0
@@ -27,8 +27,8 @@
     """Why a command failed.
 
     :param message: what was found and what was expected.
-    :param action: what the operator does next.
-    :param faults: single faults, when there are several.
+    :param action: next step for the operator.
+    :param faults: the individual faults, when there are several.
     """
 
     code: ExitCode
--- a/libs/cli/src/verbenamill_cli/fleet.py
+++ b/libs/cli/src/verbenamill_cli/fleet.py
@@ -1,4 +1,4 @@
-"""What runs on a platform: daemons, upstreams, configuration, moves."""
+"""Reports of the daemons, upstreams, configuration and moves of a platform."""
 
 from collections.abc import Iterable
 from datetime import UTC, datetime
@@ -8,22 +8,22 @@
 from returns.result import Failure, Result, Success
 
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.output import Report, table
+from verbenamill_cli.output import Report, format_table
 from verbenamill_http.addresses import parse_address
 from verbenamill_http.client import ConnectionPool
 from verbenamill_model.typing import ServiceName
 from verbenamill_policy.limits import RateLimit
 from verbenamill_policy.members import MemberRecord
 from verbenamill_policy.rollouts import Order, SettledOrder
-from verbenamill_sidecar.snapshot_client import fetch_snapshot
 from verbenamill_sidecar.desired_state import StateSnapshot
 from verbenamill_sidecar.protocol import PublishedRecords, Store, StoreFault
+from verbenamill_sidecar.snapshot_client import fetch_snapshot
 
-#: Time for one daemon to answer, and for a connection to it, in seconds.
-ANSWER_TIMEOUT = 2.0
-_CONNECT_TIMEOUT = 1.0
-#: Daemons asked at a time.
-_AT_ONCE = 50
+#: Timeouts of one query of a daemon, and of the connection to it, in seconds.
+DAEMON_TIMEOUT_S = 2.0
+_CONNECT_TIMEOUT_S = 1.0
+#: Daemons that are queried concurrently.
+_MAX_CONCURRENT_REQUESTS = 50
 _NO_VERDICT = 'no verdict yet'
 _HEADINGS = (
     'DAEMON',
@@ -36,11 +36,11 @@
 )
 
 
-class Seen(Struct, frozen=True, kw_only=True):
-    """A daemon as the store has it, and what it says itself.
+class DaemonInFleet(Struct, frozen=True, kw_only=True):
+    """The record of a daemon in the store, and the daemon's own answer.
 
-    :param version: configuration that it runs; ``None`` if it gave no
-        answer, -1 if it runs none yet.
+    :param version: version of the configuration that the daemon runs;
+        ``None`` if it did not answer, -1 if it has no configuration yet.
     """
 
     record: MemberRecord
@@ -48,137 +48,156 @@
 
 
 async def report_fleet_status(store: Store) -> Result[Report, CliError]:
-    """Ask the store and every daemon."""
+    """Report the state of all daemons, from the store and each daemon."""
     published = await store.read_newest()
-    remembered = await store.read_saved_state()
-    match published, remembered:
-        case Success(told), Success(kept):
-            seen = await _ask_all(kept.members)
-            return Success(_report_fleet(told, seen))
+    saved = await store.read_saved_state()
+    match published, saved:
+        case Success(records), Success(state):
+            daemons = await _query_daemons(state.members)
+            return Success(_format_fleet(records, daemons))
         case (Failure(fault), _) | (_, Failure(fault)):
-            return Failure(unavailable(fault))
-    raise AssertionError('a result is a success or a failure')
+            return Failure(store_unavailable(fault))
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
 async def report_moves(store: Store) -> Result[Report, CliError]:
-    """Ask the store for the newest order of each service, and its verdict."""
+    """Report the newest order of each service and its verdict."""
     published = await store.read_newest()
-    settlements = await store.read_verdicts()
-    match published, settlements:
-        case Success(told), Success(known):
-            return Success(_report_moves(told.orders, known.settled))
+    verdicts = await store.read_verdicts()
+    match published, verdicts:
+        case Success(records), Success(reported):
+            return Success(_format_moves(records.orders, reported.settled))
         case (Failure(fault), _) | (_, Failure(fault)):
-            return Failure(unavailable(fault))
-    raise AssertionError('a result is a success or a failure')
+            return Failure(store_unavailable(fault))
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
-async def _ask_all(records: Iterable[MemberRecord]) -> list[Seen]:
-    found: list[Seen] = []
-    limit = trio.CapacityLimiter(_AT_ONCE)
+async def _query_daemons(
+    records: Iterable[MemberRecord],
+) -> list[DaemonInFleet]:
+    daemons: list[DaemonInFleet] = []
+    limiter = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
-    async def ask(record: MemberRecord) -> None:
-        async with limit:
-            known = await _ask(record)
-        found.append(Seen(record=record, version=_version_of(known)))
+    async def query(record: MemberRecord) -> None:
+        async with limiter:
+            snapshot = await _fetch_snapshot(record)
+        daemons.append(
+            DaemonInFleet(record=record, version=_version_of(snapshot))
+        )
 
     async with trio.open_nursery() as nursery:
         for record in records:
-            nursery.start_soon(ask, record)
-    return sorted(found, key=lambda seen: seen.record.vm)
+            nursery.start_soon(query, record)
+    return sorted(daemons, key=lambda daemon: daemon.record.vm)
 
 
-async def _ask(record: MemberRecord) -> StateSnapshot | None:
+async def _fetch_snapshot(record: MemberRecord) -> StateSnapshot | None:
     pool = ConnectionPool(
         parse_address(record.calls),
         limit=1,
-        max_idle=ANSWER_TIMEOUT,
-        connect_timeout=_CONNECT_TIMEOUT,
+        max_idle=DAEMON_TIMEOUT_S,
+        connect_timeout=_CONNECT_TIMEOUT_S,
     )
-    with trio.move_on_after(ANSWER_TIMEOUT):
+    with trio.move_on_after(DAEMON_TIMEOUT_S):
         return await fetch_snapshot(pool)
     return None
 
 
-def _version_of(known: StateSnapshot | None) -> int | None:
-    if known is None:
+def _version_of(snapshot: StateSnapshot | None) -> int | None:
+    if snapshot is None:
         return None
-    configuration = known.configuration
+    configuration = snapshot.configuration
     return -1 if configuration is None else configuration.version
 
 
-def _report_fleet(told: PublishedRecords, fleet: list[Seen]) -> Report:
-    configuration = told.configuration
+def _format_fleet(
+    records: PublishedRecords,
+    daemons: list[DaemonInFleet],
+) -> Report:
+    configuration = records.configuration
     newest = -1 if configuration is None else configuration.version
-    late = [seen for seen in fleet if _judge(seen, newest) != 'in step']
+    lagging = [
+        daemon
+        for daemon in daemons
+        if _describe_state(daemon, newest) != 'in step'
+    ]
     published = 'none' if newest < 0 else str(newest)
     return Report(
         data={
             'published': newest,
-            'daemons': [_plain(seen, newest) for seen in fleet],
+            'daemons': [_to_plain(daemon, newest) for daemon in daemons],
         },
         lines=(
             f'configuration published: {published}',
-            f'daemons: {len(fleet)}, in step: {len(fleet) - len(late)}',
-            *table(
+            f'daemons: {len(daemons)}, in step: {len(daemons) - len(lagging)}',
+            *format_table(
                 _HEADINGS,
-                [_row(seen, newest) for seen in fleet],
+                [_row(daemon, newest) for daemon in daemons],
             ),
         ),
-        code=ExitCode.LAGGING if late else ExitCode.OK,
+        code=ExitCode.LAGGING if lagging else ExitCode.OK,
     )
 
 
-def _judge(seen: Seen, newest: int) -> str:
-    if seen.record.leaving:
+def _describe_state(daemon: DaemonInFleet, newest: int) -> str:
+    if daemon.record.leaving:
         return 'leaving'
-    if seen.version is None:
+    if daemon.version is None:
         return 'out of reach'
-    if seen.version < 0:
+    if daemon.version < 0:
         return 'no configuration'
-    behind = newest > seen.version
-    return f'{seen.version}, behind' if behind else 'in step'
+    behind = newest > daemon.version
+    return f'{daemon.version}, behind' if behind else 'in step'
 
 
-def _row(seen: Seen, newest: int) -> tuple[object, ...]:
-    record = seen.record
+def _row(daemon: DaemonInFleet, newest: int) -> tuple[object, ...]:
+    record = daemon.record
     upstream = record.upstream
     if upstream is None:
-        about: tuple[object, ...] = ('-', '-', 'none heard of', '-')
+        upstream_cells: tuple[object, ...] = ('-', '-', 'none heard of', '-')
     else:
-        about = (
+        upstream_cells = (
             upstream.service,
             upstream.version,
             upstream.state.value,
-            _show_limit(upstream.limit),
+            _format_limit(upstream.limit),
         )
-    return record.vm, record.availability_zone, *about, _judge(seen, newest)
+    return (
+        record.vm,
+        record.availability_zone,
+        *upstream_cells,
+        _describe_state(daemon, newest),
+    )
 
 
-def _show_limit(limit: RateLimit | None) -> str:
+def _format_limit(limit: RateLimit | None) -> str:
     if limit is None:
         return '-'
     since = datetime.fromtimestamp(limit.since / 1000, UTC)
     return f'{limit.rate:g}/s since {since:%Y-%m-%dT%H:%M:%SZ}'
 
 
-def _plain(seen: Seen, newest: int) -> dict[str, object]:
+def _to_plain(daemon: DaemonInFleet, newest: int) -> dict[str, object]:
     return {
-        'record': seen.record,
-        'version': seen.version,
-        'state': _judge(seen, newest),
+        'record': daemon.record,
+        'version': daemon.version,
+        'state': _describe_state(daemon, newest),
     }
 
 
-def _report_moves(
+def _format_moves(
     orders: Iterable[Order],
     settled: dict[ServiceName, SettledOrder],
 ) -> Report:
-    told = {order.service: _verdict_on(order, settled) for order in orders}
+    verdicts = {
+        order.service: _describe_verdict(order, settled) for order in orders
+    }
     return Report(
         data=[
-            {'order': order, 'verdict': told[order.service]} for order in orders
+            {'order': order, 'verdict': verdicts[order.service]}
+            for order in orders
         ],
-        lines=table(
+        lines=format_table(
             ('SERVICE', 'ORDER', 'TO VERSION', 'WINDOW', 'VERDICT'),
             [
                 (
@@ -186,7 +205,7 @@
                     order.id,
                     order.target,
                     f'{order.window:g} s',
-                    told[order.service],
+                    verdicts[order.service],
                 )
                 for order in orders
             ],
@@ -194,15 +213,18 @@
     )
 
 
-def _verdict_on(order: Order, settled: dict[ServiceName, SettledOrder]) -> str:
-    found = settled.get(order.service)
-    if found is None or found.order < order.id:
+def _describe_verdict(
+    order: Order,
+    settled: dict[ServiceName, SettledOrder],
+) -> str:
+    settled_order = settled.get(order.service)
+    if settled_order is None or settled_order.order < order.id:
         return _NO_VERDICT
-    return found.verdict.value
+    return settled_order.verdict.value
 
 
-def unavailable(fault: StoreFault) -> CliError:
-    """The store gave no answer, or refused."""
+def store_unavailable(fault: StoreFault) -> CliError:
+    """Error for a store that did not answer or refused the request."""
     return CliError(
         code=ExitCode.UNAVAILABLE,
         message=f'the store does not answer: {fault.value}',
--- a/libs/cli/src/verbenamill_cli/fleet_commands.py
+++ b/libs/cli/src/verbenamill_cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""``verbenamill fleet``: daemons, moves and blocked requests."""
+"""``verbenamill fleet``: daemons, moves and blocked requests of a platform."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -11,8 +11,8 @@
 from verbenamill_cli.environment import Environment
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.fleet import report_fleet_status, report_moves
-from verbenamill_cli.options import AsJson, Found, environment_of
-from verbenamill_cli.output import finish
+from verbenamill_cli.options import AsJson, ReportResult, environment_of
+from verbenamill_cli.output import print_and_exit
 from verbenamill_cli.quarantine import list_blocked_requests, unblock_request
 from verbenamill_http.addresses import parse_address
 from verbenamill_sidecar.protocol import Store
@@ -42,10 +42,10 @@
 ) -> None:
     """Show every daemon, its upstream and the configuration it runs.
 
-    Ends with code 6 if any of them is out of step.
+    Exits with code 6 if any daemon is not in step.
     """
-    finish(
-        _ask(environment_of(context), store, report_fleet_status),
+    print_and_exit(
+        _run_with_store(environment_of(context), store, report_fleet_status),
         as_json=as_json,
     )
 
@@ -57,7 +57,10 @@
     as_json: AsJson = False,
 ) -> None:
     """Show the newest order of each service and its verdict."""
-    finish(_ask(environment_of(context), store, report_moves), as_json=as_json)
+    print_and_exit(
+        _run_with_store(environment_of(context), store, report_moves),
+        as_json=as_json,
+    )
 
 
 @app.command('blocked')
@@ -66,10 +69,13 @@
     store: StoreAddress = '',
     as_json: AsJson = False,
 ) -> None:
-    """Show the requests that are refused, as upstreams crashed under them."""
+    """Show the requests that are refused because upstreams crashed on them."""
     environment = environment_of(context)
-    find = partial(list_blocked_requests, now=environment.clock.now())
-    finish(_ask(environment, store, find), as_json=as_json)
+    list_blocked = partial(list_blocked_requests, now=environment.clock.now())
+    print_and_exit(
+        _run_with_store(environment, store, list_blocked),
+        as_json=as_json,
+    )
 
 
 @app.command('unblock')
@@ -77,53 +83,59 @@
     context: typer.Context,
     fingerprint: Annotated[
         str,
-        typer.Argument(help='As `fleet blocked` shows it.'),
+        typer.Argument(help='Fingerprint as shown by `fleet blocked`.'),
     ],
     store: StoreAddress = '',
     as_json: AsJson = False,
 ) -> None:
     """Let a blocked request run again."""
     environment = environment_of(context)
-    clear = partial(
+    unblock = partial(
         unblock_request,
         fingerprint=fingerprint,
         now=environment.clock.now(),
     )
-    finish(_ask(environment, store, clear), as_json=as_json)
+    print_and_exit(
+        _run_with_store(environment, store, unblock),
+        as_json=as_json,
+    )
 
 
-def _ask(
+def _run_with_store(
     environment: Environment,
     address: str,
-    use: Callable[[Store], Awaitable[Found]],
-) -> Found:
+    use: Callable[[Store], Awaitable[ReportResult]],
+) -> ReportResult:
     try:
-        checked = parse_address(address)
+        parsed = parse_address(address)
     except ValueError:
-        return Failure(_bad_address(address))
-    match environment.open_store(checked):
+        return Failure(_address_error(address))
+    match environment.open_store(parsed):
         case Success(store):
-            return trio.run(_use, store, use)
+            return trio.run(_use_and_close, store, use)
         case Failure(error):
             return Failure(error)
-    raise AssertionError('a result is a success or a failure')
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
-async def _use(store: Store, use: Callable[[Store], Awaitable[Found]]) -> Found:
+async def _use_and_close(
+    store: Store,
+    use: Callable[[Store], Awaitable[ReportResult]],
+) -> ReportResult:
     try:
         return await use(store)
     finally:
         await store.close()
 
 
-def _bad_address(address: str) -> CliError:
-    told = (
+def _address_error(address: str) -> CliError:
+    message = (
         f'--store {address!r} is no address'
         if address
         else ('no store was given')
     )
     return CliError(
         code=ExitCode.USAGE,
-        message=told,
+        message=message,
         action=f'add --store HOST:PORT, or set {STORE_VARIABLE}',
     )
--- a/libs/cli/src/verbenamill_cli/history.py
+++ b/libs/cli/src/verbenamill_cli/history.py
@@ -1,7 +1,7 @@
-"""The log folded by the command line, with what became of each record.
+"""The log as the command line folds it, with the outcome of each record.
 
 The tool needs no daemon for this: it folds the same records by the same
-pure function, so that its answers hold after every daemon was replaced.
+pure function, so its answers stay valid after every daemon was replaced.
 """
 
 from collections.abc import Iterator
@@ -11,8 +11,8 @@
 from returns.result import Failure, Result, Success
 
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.retrying_log import PatientLog, unavailable
-from verbenamill_cli.results import and_then
+from verbenamill_cli.results import bind_async
+from verbenamill_cli.retrying_log import RetryingLog, log_unavailable
 from verbenamill_mesh import Configuration
 from verbenamill_mesh.checkpoints import CheckpointRecord
 from verbenamill_mesh.newest_records import read_newest_records
@@ -29,15 +29,16 @@
 from verbenamill_runtime import LogError, LogFault, LogPage
 from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 
-#: Newest checkpoints that are looked at. A writer that woke from a pause
-#: leaves an old one above newer ones, so the last alone is not enough.
-LOOK_BACK = 4
-#: The same when the oldest that is of use is wanted.
+#: Newest checkpoints from which a base is chosen. A writer that resumes after a
+#: pause appends an old checkpoint after newer ones, so the last alone is not
+#: enough.
+RECENT_CHECKPOINTS = 4
+#: The same when the search is for the oldest usable checkpoint.
 MAX_CHECKPOINTS = 64
 
 
-class Step(Struct, frozen=True, kw_only=True):
-    """One folded record and what became of it."""
+class FoldedRecord(Struct, frozen=True, kw_only=True):
+    """One folded record and its outcome."""
 
     entry: Entry
     answer: Answer
@@ -46,22 +47,24 @@
 
 
 class History(Struct, kw_only=True):
-    """What the log still tells.
+    """The records that the log still holds, and the state that they lead to.
 
-    :param base: state that folding began from: empty, or a checkpoint.
+    :param base: state from which folding began: empty, or a checkpoint.
     :param state: state after the last record.
     """
 
     base: State
     state: State
-    steps: list[Step] = []
+    records: list[FoldedRecord] = []
 
-    def take(self, entry: Entry) -> Step:
-        """Fold the record that follows."""
-        assert entry.offset == self.state.offset + 1, 'records follow on'
+    def fold(self, entry: Entry) -> FoldedRecord:
+        """Fold the record that follows the last one."""
+        assert entry.offset == self.state.offset + 1, (
+            'a record is missing before this one'
+        )
         state, answer = accept(self.state, entry)
         self.state = state
-        step = Step(
+        record = FoldedRecord(
             entry=entry,
             answer=answer,
             audit=tuple(
@@ -73,79 +76,79 @@
                 if verdict.offset == entry.offset
             ),
         )
-        self.steps.append(step)
-        return step
+        self.records.append(record)
+        return record
 
     @property
-    def is_whole(self) -> bool:
-        """Whether it reaches back to the first record."""
+    def is_complete(self) -> bool:
+        """Whether the history reaches back to the first record."""
         return self.base.offset < 0
 
     def audit(self) -> Iterator[AuditEntry]:
-        """Changes that took effect, oldest first."""
+        """Audit entries of the changes that took effect, oldest first."""
         yield from self.base.audit
-        for step in self.steps:
-            yield from step.audit
+        for record in self.records:
+            yield from record.audit
 
     def verdicts(self) -> Iterator[Verdict]:
         """Verdicts, oldest first."""
         yield from self.base.verdicts
-        for step in self.steps:
-            yield from step.verdicts
+        for record in self.records:
+            yield from record.verdicts
 
     def refusals(self) -> Iterator[Refusal]:
         """Refused records, oldest first."""
         yield from self.base.refusals
-        for step in self.steps:
-            if isinstance(step.answer, Refusal):
-                yield step.answer
+        for record in self.records:
+            if isinstance(record.answer, Refusal):
+                yield record.answer
 
 
 async def read_history(
-    log: PatientLog,
+    log: RetryingLog,
     *,
-    farthest: bool = False,
+    from_oldest: bool = False,
 ) -> Result[History, CliError]:
     """Fold the log up to its end.
 
-    :param farthest: begin as early as the log still allows. Otherwise it
-        begins at the newest checkpoint, which is much less to fold and
+    :param from_oldest: begin as far back as the log allows. Otherwise folding
+        begins at the newest checkpoint, which takes far fewer records and
         leads to the same state.
     """
     oldest = Offset(0)
-    if farthest:
+    if from_oldest:
         match await log.read(CONFIG_STREAM, oldest):
             case Success(page):
                 return await _fold(log, State(), page)
             case Failure(LogError(fault=LogFault.EXPIRED) as expired):
                 oldest = expired.oldest or oldest
             case Failure(error):
-                return Failure(unavailable(error))
-    base = await _find_base(log, oldest, farthest=farthest)
-    return await and_then(
-        base.alt(unavailable),
-        lambda found: _resume(log, found or State()),
+                return Failure(log_unavailable(error))
+    base = await _find_base(log, oldest, from_oldest=from_oldest)
+    return await bind_async(
+        base.alt(log_unavailable),
+        lambda checkpoint: _fold_after(log, checkpoint or State()),
     )
 
 
-async def _resume(
-    log: PatientLog,
+async def _fold_after(
+    log: RetryingLog,
     base: State,
 ) -> Result[History, CliError]:
     page = await log.read(CONFIG_STREAM, Offset(base.offset + 1))
-    return await and_then(
-        page.alt(_unreadable),
-        lambda found: _fold(log, base, found),
+    return await bind_async(
+        page.alt(_read_error),
+        lambda first_page: _fold(log, base, first_page),
     )
 
 
-def _unreadable(error: LogError) -> CliError:
+def _read_error(error: LogError) -> CliError:
     if error.fault is LogFault.EXPIRED:
-        return _expired(error)
-    return unavailable(error)
+        return _expired_error(error)
+    return log_unavailable(error)
 
 
-def _expired(expired: LogError) -> CliError:
+def _expired_error(expired: LogError) -> CliError:
     return CliError(
         code=ExitCode.UNAVAILABLE,
         message=(
@@ -160,14 +163,14 @@
 
 
 async def _fold(
-    log: PatientLog,
+    log: RetryingLog,
     base: State,
     page: LogPage,
 ) -> Result[History, CliError]:
     history = History(base=base, state=base)
     while True:
         for entry in page.entries:
-            history.take(entry)
+            history.fold(entry)
         if history.state.offset + 1 >= page.end:
             return Success(history)
         following = Offset(history.state.offset + 1)
@@ -175,22 +178,25 @@
             case Success(page):
                 continue
             case Failure(error):
-                return Failure(unavailable(error))
+                return Failure(log_unavailable(error))
 
 
 async def _find_base(
-    log: PatientLog,
+    log: RetryingLog,
     oldest: Offset,
     *,
-    farthest: bool,
+    from_oldest: bool,
 ) -> Result[State | None, LogError]:
-    """Checkpoint that the record ``oldest`` or a later one follows."""
-    count = MAX_CHECKPOINTS if farthest else LOOK_BACK
-    found = await read_newest_records(log, CHECKPOINTS_STREAM, count)
-    choose = min if farthest else max
+    """Find a checkpoint after which no record has expired.
+
+    :param oldest: first record that the log still holds.
+    """
+    count = MAX_CHECKPOINTS if from_oldest else RECENT_CHECKPOINTS
+    entries = await read_newest_records(log, CHECKPOINTS_STREAM, count)
+    choose = min if from_oldest else max
 
-    def choose_usable(entries: tuple[Entry, ...]) -> State | None:
-        states = (read_checkpoint(entry.body) for entry in entries)
+    def choose_usable(newest: tuple[Entry, ...]) -> State | None:
+        states = (decode_checkpoint(entry.body) for entry in newest)
         usable = (
             state
             for state in states
@@ -198,15 +204,15 @@
         )
         return choose(usable, key=_offset_of, default=None)
 
-    return found.map(choose_usable)
+    return entries.map(choose_usable)
 
 
 def _offset_of(state: State) -> Offset:
     return state.offset
 
 
-def read_checkpoint(body: bytes) -> State | None:
-    """State of a checkpoint, or ``None`` when it cannot be read."""
+def decode_checkpoint(body: bytes) -> State | None:
+    """Decode the state of a checkpoint; ``None`` when that fails."""
     try:
         checkpoint = msgspec.msgpack.decode(body, type=CheckpointRecord)
     except msgspec.MsgspecError:
--- a/libs/cli/src/verbenamill_cli/move_commands.py
+++ b/libs/cli/src/verbenamill_cli/move_commands.py
@@ -1,4 +1,4 @@
-"""``verbenamill move``: the story of one move."""
+"""``verbenamill move``: shows the timeline of one move."""
 
 from typing import Annotated
 
@@ -6,27 +6,27 @@
 from msgspec.structs import replace
 from returns.result import Result, Success
 
+from verbenamill_cli.audit_stream import read_log_records
 from verbenamill_cli.environment import Environment
 from verbenamill_cli.errors import CliError
+from verbenamill_cli.move_timeline import (
+    MoveTimeline,
+    build_timeline,
+    fetch_running_move,
+    format_timeline,
+)
 from verbenamill_cli.options import (
     DEFAULT_TIMEOUT,
     AsJson,
     DaemonUrl,
-    Found,
     LogUrl,
+    ReportResult,
     Timeout,
     environment_of,
     run_with_log,
 )
-from verbenamill_cli.output import finish
-from verbenamill_cli.retrying_log import PatientLog
-from verbenamill_cli.move_timeline import (
-    Story,
-    ask_daemon,
-    find_story,
-    report_story,
-)
-from verbenamill_cli.audit_stream import read_records
+from verbenamill_cli.output import print_and_exit
+from verbenamill_cli.retrying_log import RetryingLog
 from verbenamill_model import AuditEntry, Move
 from verbenamill_model.typing import Offset
 
@@ -50,54 +50,54 @@
     timeout: Timeout = DEFAULT_TIMEOUT,
     as_json: AsJson = False,
 ) -> None:
-    """Tell the story of a move: ticket, stages, evidence and verdict."""
+    """Show the timeline of a move: ticket, stages, evidence and verdict."""
     environment = environment_of(context)
 
-    async def use(reader: PatientLog) -> Found:
-        story = await _find_story(reader, Offset(move))
-        match story:
-            case Success(Story(verdict=None) as running):
-                asked = await _add_running(environment, daemon, running)
-                return Success(report_story(asked))
-        return story.map(report_story)
+    async def read(reader: RetryingLog) -> ReportResult:
+        timeline = await _find_timeline(reader, Offset(move))
+        match timeline:
+            case Success(MoveTimeline(verdict=None) as running):
+                updated = await _add_running_state(environment, daemon, running)
+                return Success(format_timeline(updated))
+        return timeline.map(format_timeline)
 
-    finish(run_with_log(context, log, timeout, use), as_json=as_json)
+    print_and_exit(run_with_log(context, log, timeout, read), as_json=as_json)
 
 
-async def _find_story(
-    reader: PatientLog,
+async def _find_timeline(
+    reader: RetryingLog,
     move: Offset,
-) -> Result[Story, CliError]:
-    """Look among the newest moves first, then as far back as it goes."""
-    near = await _read_story(reader, move, farthest=False)
-    match near:
-        case Success(Story(move=Move(), opened=AuditEntry())):
-            return near
-    return await _read_story(reader, move, farthest=True)
+) -> Result[MoveTimeline, CliError]:
+    """Search the newest records first, then as far back as the log allows."""
+    recent = await _read_timeline(reader, move, from_oldest=False)
+    match recent:
+        case Success(MoveTimeline(move=Move(), opened=AuditEntry())):
+            return recent
+    return await _read_timeline(reader, move, from_oldest=True)
 
 
-async def _read_story(
-    reader: PatientLog,
+async def _read_timeline(
+    reader: RetryingLog,
     move: Offset,
     *,
-    farthest: bool,
-) -> Result[Story, CliError]:
-    records = await read_records(reader, farthest=farthest)
+    from_oldest: bool,
+) -> Result[MoveTimeline, CliError]:
+    records = await read_log_records(reader, from_oldest=from_oldest)
     return records.bind(
-        lambda known: find_story(known.history, known.lines, move),
+        lambda known: build_timeline(known.history, known.lines, move),
     )
 
 
-async def _add_running(
+async def _add_running_state(
     environment: Environment,
     url: str,
-    story: Story,
-) -> Story:
+    timeline: MoveTimeline,
+) -> MoveTimeline:
     if not url:
-        return replace(story, daemon='no daemon was asked (give --daemon)')
+        return replace(timeline, daemon='no daemon was asked (give --daemon)')
     async with environment.open_client() as client:
-        match await ask_daemon(client, url.rstrip('/'), story.id):
+        match await fetch_running_move(client, url.rstrip('/'), timeline.id):
             case str(reason):
-                return replace(story, daemon=reason)
+                return replace(timeline, daemon=reason)
             case running:
-                return replace(story, running=running)
+                return replace(timeline, running=running)
--- a/libs/cli/src/verbenamill_cli/move_timeline.py
+++ b/libs/cli/src/verbenamill_cli/move_timeline.py
@@ -1,4 +1,4 @@
-"""The whole story of one move, in order."""
+"""Timeline of one move, from its ticket to its verdict."""
 
 from collections.abc import Iterator
 
@@ -6,11 +6,11 @@
 from msgspec import Struct
 from returns.result import Failure, Result, Success
 
-from verbenamill_cli.audit import known_moves
+from verbenamill_cli.audit import list_known_moves
 from verbenamill_cli.daemons import fetch
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.history import History
-from verbenamill_cli.output import Report, show_time
+from verbenamill_cli.output import Report, format_time
 from verbenamill_cli.tickets import describe_move
 from verbenamill_model import AuditEntry, Move, Verdict
 from verbenamill_model.typing import Offset, VersionName
@@ -19,9 +19,10 @@
 
 
 class RunningMove(Struct, frozen=True, kw_only=True):
-    """What a daemon knows of a running move.
+    """State of a running move as one daemon reports it.
 
-    :param shares: share of each version in the calls that arrive there.
+    :param shares: share of each version in the calls that arrive at the
+        daemon.
     """
 
     move: Move
@@ -29,13 +30,13 @@
     shares: dict[VersionName, float] = {}
 
 
-class Story(Struct, frozen=True, kw_only=True):
-    """Everything known of a move.
+class MoveTimeline(Struct, frozen=True, kw_only=True):
+    """Everything that is known about a move.
 
-    :param move: ``None`` when its ticket and verdict have expired.
-    :param opened: the audit trail's line of the ticket.
-    :param running: a daemon's view, when it runs and a daemon was asked.
-    :param daemon: why there is no such view.
+    :param move: the move; ``None`` when its ticket and verdict have expired.
+    :param opened: entry of the audit trail for the ticket.
+    :param running: state from a daemon, if the move runs and one was asked.
+    :param daemon: why there is no such state.
     """
 
     id: Offset
@@ -47,29 +48,31 @@
     daemon: str = ''
 
 
-def find_story(
+def build_timeline(
     history: History,
     lines: list[AuditLine],
     wanted: Offset,
-) -> Result[Story, CliError]:
-    """Join ticket, steps and verdict of a move.
+) -> Result[MoveTimeline, CliError]:
+    """Combine the ticket, steps and verdict of a move.
 
-    :param wanted: the move's id, the offset of its ticket.
+    :param wanted: id of the move, which is the offset of its ticket.
     """
     steps = tuple(line for line in lines if line.move == wanted)
-    moves = {move.id: move for move in known_moves(history)}
+    moves = {move.id: move for move in list_known_moves(history)}
     move = moves.get(wanted)
     if move is None and not steps:
         return Failure(_not_found(wanted, moves))
     opened = (line for line in history.audit() if line.offset == wanted)
-    ended = (known for known in history.verdicts() if known.move.id == wanted)
+    verdicts = (
+        known for known in history.verdicts() if known.move.id == wanted
+    )
     return Success(
-        Story(
+        MoveTimeline(
             id=wanted,
             move=move,
             opened=next(opened, None),
             steps=steps,
-            verdict=next(ended, None),
+            verdict=next(verdicts, None),
         ),
     )
 
@@ -97,65 +100,65 @@
     )
 
 
-async def ask_daemon(
+async def fetch_running_move(
     client: httpx.AsyncClient,
     url: str,
     move: Offset,
 ) -> RunningMove | str:
-    """A daemon's view of a running move, or why there is none."""
+    """Fetch the state of a running move, or the reason why there is none."""
     match await fetch(client, f'{url}/moves', list[RunningMove]):
         case Success(running):
-            found = (known for known in running if known.move.id == move)
-            return next(found, 'the daemon does not run this move')
+            matching = (known for known in running if known.move.id == move)
+            return next(matching, 'the daemon does not run this move')
         case Failure(reason):
             return f'the daemon at {url} {reason}'
-    raise AssertionError('a result is a success or a failure')
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
-def report_story(story: Story) -> Report:
-    """Tell the story in the order of time."""
-    return Report(data=story, lines=tuple(_tell(story)))
+def format_timeline(timeline: MoveTimeline) -> Report:
+    """Format the timeline in chronological order."""
+    return Report(data=timeline, lines=tuple(_format_lines(timeline)))
 
 
-def _tell(story: Story) -> Iterator[str]:
-    if story.move is None:
-        yield f'move {story.id}: its ticket has expired from the log'
+def _format_lines(timeline: MoveTimeline) -> Iterator[str]:
+    if timeline.move is None:
+        yield f'move {timeline.id}: its ticket has expired from the log'
     else:
-        yield describe_move(story.move)
-        yield _tell_ticket(story, story.move)
-    for step in story.steps:
-        yield f'{show_time(step.at)}  {step.vm}: {step.text}'
-    if story.verdict is not None:
-        verdict = story.verdict
+        yield describe_move(timeline.move)
+        yield _format_ticket(timeline, timeline.move)
+    for step in timeline.steps:
+        yield f'{format_time(step.at)}  {step.vm}: {step.text}'
+    if timeline.verdict is not None:
+        verdict = timeline.verdict
         yield (
-            f'{show_time(verdict.at)}  verdict: {verdict.kind.value}, '
+            f'{format_time(verdict.at)}  verdict: {verdict.kind.value}, '
             f'decided by {verdict.decided_by}: {verdict.reason}'
         )
-    elif story.move is not None:
+    elif timeline.move is not None:
         yield 'no verdict yet: the move runs'
-        yield from _tell_running(story)
+        yield from _format_running(timeline)
 
 
-def _tell_ticket(story: Story, move: Move) -> str:
-    start = f'{show_time(move.accepted_at)}  ticket {move.ticket} accepted'
-    if story.opened is None:
+def _format_ticket(timeline: MoveTimeline, move: Move) -> str:
+    start = f'{format_time(move.accepted_at)}  ticket {move.ticket} accepted'
+    if timeline.opened is None:
         return start
-    return f'{start}, of {story.opened.author}: {story.opened.text}'
+    return f'{start}, of {timeline.opened.author}: {timeline.opened.text}'
 
 
-def _tell_running(story: Story) -> Iterator[str]:
-    if story.running is None:
-        yield f'shares unknown: {story.daemon}'
+def _format_running(timeline: MoveTimeline) -> Iterator[str]:
+    if timeline.running is None:
+        yield f'shares unknown: {timeline.daemon}'
         return
     shares = ', '.join(
         f'{version} {share:.0%}'
-        for version, share in story.running.shares.items()
+        for version, share in timeline.running.shares.items()
     )
     yield f'shares now, at the daemon that was asked: {shares}'
-    yield from _tell_state(story.running.state or MoveState())
+    yield from _format_state(timeline.running.state or MoveState())
 
 
-def _tell_state(state: MoveState) -> Iterator[str]:
+def _format_state(state: MoveState) -> Iterator[str]:
     if state.veto:
         yield f'vetoed, so the new version gets no traffic: {state.reason}'
     stages = ', '.join(
--- a/libs/cli/src/verbenamill_cli/output.py
+++ b/libs/cli/src/verbenamill_cli/output.py
@@ -1,4 +1,4 @@
-"""Reports and errors, as text for people or JSON for programs."""
+"""Formatting of reports and errors, as plain text or JSON."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -15,10 +15,10 @@
 
 
 class Report(Struct, frozen=True, kw_only=True):
-    """What a command found.
+    """Result of a command.
 
-    :param data: the same as a message, for ``--json``.
-    :param lines: text for people.
+    :param data: value that ``--json`` prints.
+    :param lines: the same result as lines of plain text.
     """
 
     data: Any
@@ -26,65 +26,68 @@
     code: ExitCode = ExitCode.OK
 
 
-def finish(answer: Result[Report, CliError], *, as_json: bool) -> NoReturn:
-    """Print what a command found and end with its exit code."""
-    match answer:
+def print_and_exit(
+    result: Result[Report, CliError],
+    *,
+    as_json: bool,
+) -> NoReturn:
+    """Print the report or error and exit with its code."""
+    match result:
         case Success(Report() as report):
             print_report(report, as_json=as_json)
             raise typer.Exit(report.code)
         case Failure(CliError() as error):
             print_error(error, as_json=as_json)
             raise typer.Exit(error.code)
-    raise AssertionError('a result is a success or a failure')
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
 def print_report(report: Report, *, as_json: bool) -> None:
-    """Print one report; JSON takes one line."""
+    """Print a report, in JSON as a single line."""
     if as_json:
         print(to_json(report.data))
     else:
-        print('\n'.join(map(printable, report.lines)))
-    # A reader at the other end of a pipe follows line by line.
+        print('\n'.join(map(escape_unprintable, report.lines)))
+    # Programs that read the output through a pipe need each line at once.
     sys.stdout.flush()
 
 
 def print_error(error: CliError, *, as_json: bool) -> None:
-    """Print an error to the error output."""
+    """Print an error to standard error."""
     if as_json:
         print(to_json({'error': error}), file=sys.stderr)
         return
-    faults = (f'  - {printable(fault)}' for fault in error.faults)
-    lines = (f'error: {printable(error.message)}', *faults)
+    faults = (f'  - {escape_unprintable(fault)}' for fault in error.faults)
+    lines = (f'error: {escape_unprintable(error.message)}', *faults)
     print('\n'.join((*lines, f'what to do: {error.action}')), file=sys.stderr)
 
 
 def to_json(value: Any) -> str:
-    """One line of JSON."""
+    """Encode a value as one line of JSON."""
     return msgspec.json.encode(as_plain(value)).decode()
 
 
-def printable(text: str) -> str:
-    """Text without characters that could steer a terminal.
+def escape_unprintable(text: str) -> str:
+    """Escape characters that could control the terminal.
 
-    Authors and notes come from other people's tickets.
+    Authors and notes are untrusted text from the tickets of other people.
     """
     return ''.join(
-        symbol if symbol.isprintable() else repr(symbol)[1:-1]
-        for symbol in text
+        char if char.isprintable() else repr(char)[1:-1] for char in text
     )
 
 
-def show_time(moment: datetime) -> str:
-    """Time to the second, in UTC."""
-    return moment.astimezone(UTC).strftime('%Y-%m-%d %H:%M:%SZ')
+def format_time(time: datetime) -> str:
+    """Format a time in UTC, to the second."""
+    return time.astimezone(UTC).strftime('%Y-%m-%d %H:%M:%SZ')
 
 
-def table(
+def format_table(
     header: Sequence[str],
     rows: Iterable[Sequence[object]],
 ) -> tuple[str, ...]:
-    """Align rows under a header; the last column runs free."""
-    cells = [[printable(str(cell)) for cell in row] for row in rows]
+    """Align rows under a header; the last column is not padded."""
+    cells = [[escape_unprintable(str(cell)) for cell in row] for row in rows]
     cells.insert(0, list(header))
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     widths[-1] = 0
--- a/libs/cli/src/verbenamill_cli/publish.py
+++ b/libs/cli/src/verbenamill_cli/publish.py
@@ -1,7 +1,7 @@
-"""Publishing of a ticket, and what became of it.
+"""Publishing of a ticket and detection of its outcome.
 
 An append whose answer is lost may have taken effect, so the log is read
-before anything is appended again.
+before the ticket is appended again.
 """
 
 from datetime import datetime
@@ -11,16 +11,16 @@
 from returns.result import Failure, Result, Success
 
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.history import History, Step, read_history
-from verbenamill_cli.retrying_log import PatientLog, unavailable
-from verbenamill_cli.results import and_then
+from verbenamill_cli.history import FoldedRecord, History, read_history
+from verbenamill_cli.results import bind_async
+from verbenamill_cli.retrying_log import RetryingLog, log_unavailable
 from verbenamill_model import (
     Answer,
     Applied,
+    Duplicate,
     Entry,
     Move,
     Refusal,
-    Duplicate,
     Ticket,
     TicketRecord,
     accept,
@@ -36,10 +36,10 @@
 class Published(Struct, frozen=True, kw_only=True):
     """An accepted ticket.
 
-    :param offset: where the accepted record stands; ``None`` when it is
-        long ago.
+    :param offset: offset of the accepted record; ``None`` when the audit trail
+        no longer holds it.
     :param repeated: whether the change was in force before this command.
-    :param moves: moves that it began.
+    :param moves: moves that the ticket began.
     """
 
     ticket: TicketNumber
@@ -49,36 +49,44 @@
 
 
 async def publish(
-    log: PatientLog,
+    log: RetryingLog,
     ticket: Ticket,
     *,
     now: datetime,
 ) -> Result[Published, CliError]:
     """Publish a ticket and report whether it was accepted.
 
-    A ticket that would be refused now is not appended at all.
+    A ticket that would be refused now is not appended.
     """
-    history = await read_history(log)
-    return await and_then(history, lambda known: _try(log, known, ticket, now))
+    folded = await read_history(log)
+    return await bind_async(
+        folded,
+        lambda history: _publish_after_check(log, history, ticket, now),
+    )
 
 
-async def _try(
-    log: PatientLog,
-    known: History,
+async def _publish_after_check(
+    log: RetryingLog,
+    history: History,
     ticket: Ticket,
     now: datetime,
 ) -> Result[Published, CliError]:
-    match predict(known, ticket, now=now):
+    match predict_answer(history, ticket, now=now):
         case Refusal() as refusal:
-            faults = find_faults(known.state.snapshot, ticket, now)
-            return Failure(_refused(ticket, faults or (refusal.reason,)))
+            faults = find_faults(history.state.snapshot, ticket, now)
+            return Failure(_refused_error(ticket, faults or (refusal.reason,)))
         case Duplicate():
-            return Success(_repeated(known, ticket))
-    return await _append(log, known, ticket)
+            return Success(_already_published(history, ticket))
+    return await _append(log, history, ticket)
 
 
-def predict(history: History, ticket: Ticket, *, now: datetime) -> Answer:
-    """What would become of a ticket that were appended now."""
+def predict_answer(
+    history: History,
+    ticket: Ticket,
+    *,
+    now: datetime,
+) -> Answer:
+    """Compute the answer that a ticket would get if it were appended now."""
     entry = Entry(
         offset=Offset(history.state.offset + 1),
         at=now,
@@ -89,69 +97,69 @@
 
 
 async def _append(
-    log: PatientLog,
+    log: RetryingLog,
     history: History,
     ticket: Ticket,
 ) -> Result[Published, CliError]:
     body = encode_record(TicketRecord(ticket=ticket))
-    before = len(history.steps)
-    waits = log.waits()
-    may_be_there = False
+    first_new = len(history.records)
+    delays = log.retry_delays()
+    may_be_on_log = False
     while True:
         appended = await log.append(CONFIG_STREAM, body)
         match appended:
             case Success(_) | Failure(LogError(fault=LogFault.UNKNOWN)):
-                may_be_there = True
+                may_be_on_log = True
         if await _catch_up(log, history):
-            for step in history.steps[before:]:
-                if ticket_of(step) == ticket:
-                    return _outcome(history, ticket, step)
-        if log.is_over:
-            return Failure(_not_published(ticket, appended, may_be_there))
-        await trio.sleep(next(waits).total_seconds())
+            for record in history.records[first_new:]:
+                if decode_ticket(record) == ticket:
+                    return _outcome_of(history, ticket, record)
+        if log.is_timed_out:
+            return Failure(_publish_error(ticket, appended, may_be_on_log))
+        await trio.sleep(next(delays).total_seconds())
 
 
-async def _catch_up(log: PatientLog, history: History) -> bool:
-    """Fold what was appended since; false when the log does not answer."""
+async def _catch_up(log: RetryingLog, history: History) -> bool:
+    """Fold records appended since; false when the log does not answer."""
     while True:
         following = Offset(history.state.offset + 1)
         match await log.read(CONFIG_STREAM, following):
             case Success(page):
                 for entry in page.entries:
-                    history.take(entry)
+                    history.fold(entry)
             case Failure(_):
                 return False
         if history.state.offset + 1 >= page.end:
             return True
 
 
-def ticket_of(step: Step) -> Ticket | None:
-    """The ticket that a record carries, if it is one."""
-    match decode_record(step.entry.body):
+def decode_ticket(record: FoldedRecord) -> Ticket | None:
+    """Decode the ticket of a record; ``None`` when it holds no ticket."""
+    match decode_record(record.entry.body):
         case Success(TicketRecord(ticket=ticket)):
             return ticket
     return None
 
 
-def _outcome(
+def _outcome_of(
     history: History,
     ticket: Ticket,
-    step: Step,
+    record: FoldedRecord,
 ) -> Result[Published, CliError]:
-    match step.answer:
+    match record.answer:
         case Applied():
             return Success(
                 Published(
                     ticket=ticket.number,
-                    offset=step.entry.offset,
+                    offset=record.entry.offset,
                     repeated=False,
-                    moves=_moves_begun(history, step.entry.offset),
+                    moves=_moves_begun(history, record.entry.offset),
                 ),
             )
         case Duplicate():
-            return Success(_repeated(history, ticket))
+            return Success(_already_published(history, ticket))
         case Refusal() as refusal:
-            return Failure(_refused(ticket, (refusal.reason,)))
+            return Failure(_refused_error(ticket, (refusal.reason,)))
 
 
 def _moves_begun(history: History, offset: Offset) -> tuple[Move, ...]:
@@ -164,7 +172,7 @@
     return tuple(move for move in (*running, *settled) if move.id == offset)
 
 
-def _repeated(history: History, ticket: Ticket) -> Published:
+def _already_published(history: History, ticket: Ticket) -> Published:
     lines = (line for line in history.audit() if line.ticket == ticket.number)
     first = next((line.offset for line in lines), None)
     return Published(
@@ -175,7 +183,7 @@
     )
 
 
-def _refused(ticket: Ticket, reasons: tuple[str, ...]) -> CliError:
+def _refused_error(ticket: Ticket, reasons: tuple[str, ...]) -> CliError:
     return CliError(
         code=ExitCode.REFUSED,
         message=f'ticket {ticket.number} is refused',
@@ -187,14 +195,14 @@
     )
 
 
-def _not_published(
+def _publish_error(
     ticket: Ticket,
-    last: Result[Offset, LogError],
-    may_be_there: bool,
+    last_append: Result[Offset, LogError],
+    may_be_on_log: bool,
 ) -> CliError:
-    match last:
-        case Failure(error) if not may_be_there:
-            return unavailable(error)
+    match last_append:
+        case Failure(error) if not may_be_on_log:
+            return log_unavailable(error)
     return CliError(
         code=ExitCode.UNKNOWN,
         message=(
--- a/libs/cli/src/verbenamill_cli/quarantine.py
+++ b/libs/cli/src/verbenamill_cli/quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are blocked on a platform, and letting them run again."""
+"""Listing and unblocking of the blocked requests of a platform."""
 
 from datetime import UTC, datetime
 
@@ -6,8 +6,8 @@
 from returns.result import Failure, Result, Success
 
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.fleet import unavailable
-from verbenamill_cli.output import Report, table
+from verbenamill_cli.fleet import store_unavailable
+from verbenamill_cli.output import Report, format_table
 from verbenamill_policy.quarantine import Suspect
 from verbenamill_sidecar.protocol import Store
 
@@ -19,14 +19,16 @@
     *,
     now: datetime,
 ) -> Result[Report, CliError]:
-    """Ask the store which requests are blocked."""
+    """Report the blocked requests that the store holds."""
     match await store.read_saved_state():
-        case Success(remembered):
-            blocked = [one for one in remembered.suspects if one.is_blocked]
-            return Success(_report(blocked, now))
+        case Success(saved):
+            blocked = [
+                suspect for suspect in saved.suspects if suspect.is_blocked
+            ]
+            return Success(_format_blocked(blocked, now))
         case Failure(fault):
-            return Failure(unavailable(fault))
-    raise AssertionError('a result is a success or a failure')
+            return Failure(store_unavailable(fault))
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
 async def unblock_request(
@@ -35,47 +37,53 @@
     *,
     now: datetime,
 ) -> Result[Report, CliError]:
-    """Clear a request; daemons that read the store tell all others.
+    """Unblock a request in the store.
+
+    The daemons that read the store pass this on to all others.
 
-    :param fingerprint: in hexadecimal digits.
+    :param fingerprint: hexadecimal fingerprint of the request.
     """
     match await store.read_saved_state():
-        case Success(remembered):
-            found = [
-                one
-                for one in remembered.suspects
-                if one.is_blocked and one.fingerprint.hex() == fingerprint
+        case Success(saved):
+            matching = [
+                suspect
+                for suspect in saved.suspects
+                if suspect.is_blocked
+                and suspect.fingerprint.hex() == fingerprint
             ]
         case Failure(fault):
-            return Failure(unavailable(fault))
-    if not found:
+            return Failure(store_unavailable(fault))
+    if not matching:
         return Failure(_not_blocked(fingerprint))
     cleared = replace(
-        found[0],
-        round=found[0].round + 1,
+        matching[0],
+        round=matching[0].round + 1,
         crashes=(),
         changed_at=int(now.timestamp()),
     )
     match await store.save_suspects([cleared]):
         case Success(_):
-            return Success(_report_cleared(cleared))
+            return Success(_format_unblocked(cleared))
         case Failure(fault):
-            return Failure(unavailable(fault))
-    raise AssertionError('a result is a success or a failure')
+            return Failure(store_unavailable(fault))
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
-def _report(blocked: list[Suspect], now: datetime) -> Report:
+def _format_blocked(blocked: list[Suspect], now: datetime) -> Report:
     return Report(
-        data=[_plain(one, now) for one in blocked],
-        lines=table(
+        data=[_to_row(suspect, now) for suspect in blocked],
+        lines=format_table(
             _HEADINGS,
-            [tuple(_plain(one, now).values()) for one in blocked],
+            [tuple(_to_row(suspect, now).values()) for suspect in blocked],
         ),
     )
 
 
-def _plain(suspect: Suspect, now: datetime) -> dict[str, object]:
-    """One line; some daemons let it run again later, by up to half."""
+def _to_row(suspect: Suspect, now: datetime) -> dict[str, object]:
+    """Fields of one blocked request.
+
+    Some daemons extend the block by up to half of the time shown.
+    """
     since = datetime.fromtimestamp(suspect.changed_at, UTC)
     left = suspect.changed_at + suspect.block_time - now.timestamp()
     return {
@@ -87,7 +95,7 @@
     }
 
 
-def _report_cleared(suspect: Suspect) -> Report:
+def _format_unblocked(suspect: Suspect) -> Report:
     text = f'{suspect.about}: runs again within three minutes'
     return Report(
         data={'fingerprint': suspect.fingerprint.hex(), 'cleared': True},
--- a/libs/cli/src/verbenamill_cli/request_trace.py
+++ b/libs/cli/src/verbenamill_cli/request_trace.py
@@ -1,4 +1,4 @@
-"""The story of one request, from the log lines of the daemons."""
+"""Trace of one request, reconstructed from the log lines of the daemons."""
 
 from collections.abc import Iterable, Iterator
 from datetime import datetime
@@ -13,11 +13,12 @@
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.output import Report
 
-#: Codes of events that end a request at the daemon that took it.
-_ENDS = frozenset(('VM6008', 'VM6009', 'VM6010'))
-#: What a daemon believed: event code, and what it is called in the story.
-#: The last line of each before the request's end is shown with its age.
-_BELIEFS = {
+#: Codes of events that end a request at the daemon that accepted it.
+_FINAL_CODES = frozenset(('VM6008', 'VM6009', 'VM6010'))
+#: Codes of events that change the state of a daemon, and the name of that state
+#: in the trace. The last line of each name before the end of the request is
+#: shown with its age.
+_STATE_CODES = {
     'VM2003': 'configuration',
     'VM3007': 'store',
     'VM3008': 'store',
@@ -28,17 +29,17 @@
     'VM6017': 'limit of the own upstream',
     'VM6018': 'own upstream',
 }
-#: Codes of lines about another daemon, by the field that names it.
-_ABOUT = {'VM4001': 'peer', 'VM4002': 'peer', 'VM4006': 'vm'}
-#: Codes of events that tell that a request is blocked, or not any more.
-_BLOCKS = frozenset(('VM6014', 'VM6015'))
+#: Codes of events about another daemon, and the field that names it.
+_PEER_FIELDS = {'VM4001': 'peer', 'VM4002': 'peer', 'VM4006': 'vm'}
+#: Codes of events that block or unblock a request.
+_BLOCK_CODES = frozenset(('VM6014', 'VM6015'))
 STANDARD_INPUT = Path('-')
 
 
-class Line(Struct, frozen=True):
-    """One event as a daemon wrote it.
+class LogLine(Struct, frozen=True):
+    """One event in the log of a daemon.
 
-    :param vm: daemon that wrote it; empty in logs that do not say.
+    :param vm: daemon that wrote the line; empty in logs without this field.
     """
 
     at: datetime
@@ -49,14 +50,15 @@
 
     @property
     def request(self) -> str:
-        """Request that the line is about."""
+        """Id of the request that the line is about; empty if it has none."""
         return str(self.fields.get('request', ''))
 
 
-class Belief(Struct, frozen=True):
-    """What a daemon believed when a request ended.
+class KnownState(Struct, frozen=True):
+    """State that a daemon had recorded when a request ended.
 
-    :param age: time since it came to believe that, in seconds.
+    :param matter: name of the state.
+    :param age: time since the line that set the state, in seconds.
     """
 
     matter: str
@@ -64,30 +66,31 @@
     message: str
 
 
-class Story(Struct, frozen=True, kw_only=True):
-    """Everything that the lines tell of a request.
+class RequestTrace(Struct, frozen=True, kw_only=True):
+    """Everything that the log lines contain about a request.
 
-    :param cause: the line that decided it, if one did.
-    :param crashes: lines of upstreams that crashed with the same request in
-        hand, and of its block at the daemon that took it.
+    :param cause: the line that decided the outcome, if there is one.
+    :param beliefs: state of the deciding daemon at that time.
+    :param crashes: lines about upstreams that crashed while they ran the same
+        request, and about its block at the daemon that accepted it.
     """
 
     request: str
-    lines: tuple[Line, ...]
-    cause: Line | None
-    beliefs: tuple[Belief, ...]
-    crashes: tuple[Line, ...] = ()
+    lines: tuple[LogLine, ...]
+    cause: LogLine | None
+    beliefs: tuple[KnownState, ...]
+    crashes: tuple[LogLine, ...] = ()
     unreadable: int = 0
 
 
-_decoder = msgspec.json.Decoder(Line)
+_decoder = msgspec.json.Decoder(LogLine)
 
 
-def read_lines(texts: Iterable[str]) -> tuple[list[Line], int]:
-    """Decode lines; those that are no events are counted.
+def decode_lines(texts: Iterable[str]) -> tuple[list[LogLine], int]:
+    """Decode log lines, and count those that are not events.
 
-    What stands before the first brace, as a collector may put it there, is
-    skipped.
+    Any text before the first brace is skipped, because a log collector may
+    add a prefix.
     """
     lines = []
     unreadable = 0
@@ -103,23 +106,23 @@
     return lines, unreadable
 
 
-def tell_story(
+def trace_request(
     request: str,
-    lines: list[Line],
+    lines: list[LogLine],
     unreadable: int = 0,
-) -> Result[Story, CliError]:
-    """Find what became of a request, and why."""
-    own = [line for line in lines if _is_about(line, request)]
-    if not own:
+) -> Result[RequestTrace, CliError]:
+    """Find the outcome of a request and its cause."""
+    request_lines = [line for line in lines if _is_about(line, request)]
+    if not request_lines:
         return Failure(_not_found(request, lines, unreadable))
-    own.sort(key=lambda line: line.at)
-    cause = _find_cause(own, request)
-    beliefs = () if cause is None else tuple(_find_beliefs(lines, cause))
+    request_lines.sort(key=lambda line: line.at)
+    cause = _find_cause(request_lines, request)
+    beliefs = () if cause is None else tuple(_find_known_states(lines, cause))
     crashes = () if cause is None else tuple(_find_crashes(lines, cause))
     return Success(
-        Story(
+        RequestTrace(
             request=request,
-            lines=tuple(own),
+            lines=tuple(request_lines),
             cause=cause,
             beliefs=beliefs,
             crashes=crashes,
@@ -128,38 +131,39 @@
     )
 
 
-def report_story(story: Story) -> Report:
-    """The story for people."""
-    lines = [f'request {story.request}', *map(_show_line, story.lines)]
-    cause = story.cause
+def format_trace(trace: RequestTrace) -> Report:
+    """Format the trace as lines of plain text."""
+    lines = [f'request {trace.request}', *map(_format_line, trace.lines)]
+    cause = trace.cause
     if cause is None:
         lines.append('no line says how it ended at the daemon that took it')
     else:
         lines.append(f'decided by {cause.code} at {cause.vm or "its daemon"}:')
         lines.extend(
-            f'  {name} = {_show(found)}' for name, found in cause.fields.items()
+            f'  {name} = {_format_value(field)}'
+            for name, field in cause.fields.items()
         )
-    if story.beliefs:
+    if trace.beliefs:
         lines.append('what that daemon believed then:')
-    for belief in story.beliefs:
+    for belief in trace.beliefs:
         lines.append(
             f'  {belief.matter}, {belief.age:.3f} s old: {belief.message}',
         )
-    if story.crashes:
+    if trace.crashes:
         lines.append('crashes of upstreams that ran the same request:')
-        lines.extend(map(_show_line, story.crashes))
-    if story.unreadable:
-        lines.append(f'{story.unreadable} lines could not be read')
-    return Report(data=story, lines=tuple(lines))
+        lines.extend(map(_format_line, trace.crashes))
+    if trace.unreadable:
+        lines.append(f'{trace.unreadable} lines could not be read')
+    return Report(data=trace, lines=tuple(lines))
 
 
 def explain(request: str, files: list[Path]) -> Result[Report, CliError]:
-    """Read log files and tell the story of a request."""
-    lines: list[Line] = []
+    """Read log files and report the trace of a request."""
+    lines: list[LogLine] = []
     unreadable = 0
     for file in files:
         try:
-            found, faulty = read_lines(_texts(file))
+            decoded, skipped = decode_lines(_read_texts(file))
         except OSError as error:
             return Failure(
                 CliError(
@@ -169,75 +173,79 @@
                     'standard input',
                 ),
             )
-        lines.extend(found)
-        unreadable += faulty
-    return tell_story(request, lines, unreadable).map(report_story)
+        lines.extend(decoded)
+        unreadable += skipped
+    return trace_request(request, lines, unreadable).map(format_trace)
 
 
-def _texts(file: Path) -> list[str]:
+def _read_texts(file: Path) -> list[str]:
     if file == STANDARD_INPUT:
         return typer.get_text_stream('stdin').readlines()
     return file.read_text(encoding='utf-8', errors='replace').splitlines()
 
 
-def _is_about(line: Line, request: str) -> bool:
-    """Whether a line is about a request or a call that it made."""
-    told = line.request
-    return told == request or told.startswith(f'{request}.')
+def _is_about(line: LogLine, request: str) -> bool:
+    """Whether a line is about a request or a nested call of it."""
+    line_request = line.request
+    return line_request == request or line_request.startswith(f'{request}.')
 
 
-def _find_cause(own: list[Line], request: str) -> Line | None:
-    ends = [line for line in own if line.code in _ENDS]
-    # A nested call that failed first explains the request that made it.
-    nested = [line for line in ends if line.request != request]
-    return next(iter((*nested, *ends)), None)
+def _find_cause(request_lines: list[LogLine], request: str) -> LogLine | None:
+    final_lines = [line for line in request_lines if line.code in _FINAL_CODES]
+    # The first failed nested call explains the failure of the request.
+    nested = [line for line in final_lines if line.request != request]
+    return next(iter((*nested, *final_lines)), None)
 
 
-def _find_beliefs(lines: list[Line], cause: Line) -> Iterator[Belief]:
-    tried = [
-        str(one).partition(':')[0] for one in cause.fields.get('tried') or ()
+def _find_known_states(
+    lines: list[LogLine],
+    cause: LogLine,
+) -> Iterator[KnownState]:
+    tried_peers = [
+        str(attempt).partition(':')[0]
+        for attempt in cause.fields.get('tried') or ()
     ]
-    newest: dict[str, Line] = {}
+    last_lines: dict[str, LogLine] = {}
     for line in lines:
         if line.vm != cause.vm or line.at > cause.at:
             continue
-        matter = _matter_of(line, tried)
-        known = newest.get(matter)
-        if matter and (known is None or known.at <= line.at):
-            newest[matter] = line
-    for matter, line in sorted(newest.items()):
+        matter = _name_state(line, tried_peers)
+        last = last_lines.get(matter)
+        if matter and (last is None or last.at <= line.at):
+            last_lines[matter] = line
+    for matter, line in sorted(last_lines.items()):
         age = (cause.at - line.at).total_seconds()
-        yield Belief(matter, age, line.message)
+        yield KnownState(matter, age, line.message)
 
 
-def _find_crashes(lines: list[Line], cause: Line) -> list[Line]:
-    """Crashes under requests with the same content, and what they led to."""
+def _find_crashes(lines: list[LogLine], cause: LogLine) -> list[LogLine]:
+    """Find crashes during requests with the same content, and its blocks."""
     fingerprint = cause.fields.get('fingerprint')
     if fingerprint is None:
         return []
-    found = [
+    crashes = [
         line
         for line in lines
         if fingerprint in (line.fields.get('fingerprints') or ())
         or (
-            line.code in _BLOCKS
+            line.code in _BLOCK_CODES
             and line.vm == cause.vm
             and line.fields.get('fingerprint') == fingerprint
         )
     ]
-    return sorted(found, key=lambda line: line.at)
+    return sorted(crashes, key=lambda line: line.at)
 
 
-def _matter_of(line: Line, tried: list[str]) -> str:
+def _name_state(line: LogLine, tried_peers: list[str]) -> str:
     code = line.code or ''
-    about = _ABOUT.get(code)
-    if about is not None:
-        name = str(line.fields.get(about, ''))
-        return f'daemon {name}' if name in tried else ''
-    return _BELIEFS.get(code, '')
+    peer_field = _PEER_FIELDS.get(code)
+    if peer_field is not None:
+        name = str(line.fields.get(peer_field, ''))
+        return f'daemon {name}' if name in tried_peers else ''
+    return _STATE_CODES.get(code, '')
 
 
-def _not_found(request: str, lines: list[Line], unreadable: int) -> CliError:
+def _not_found(request: str, lines: list[LogLine], unreadable: int) -> CliError:
     if lines:
         message = f'no line of {len(lines)} is about request {request!r}'
         action = (
@@ -250,16 +258,16 @@
     return CliError(code=ExitCode.NOT_FOUND, message=message, action=action)
 
 
-def _clock(moment: datetime) -> str:
-    return moment.strftime('%H:%M:%S.%f')[:-3]
+def _format_clock(time: datetime) -> str:
+    return time.strftime('%H:%M:%S.%f')[:-3]
 
 
-def _show_line(line: Line) -> str:
+def _format_line(line: LogLine) -> str:
     vm = line.vm or 'unknown daemon'
-    return f'  {_clock(line.at)}  {vm}  {line.code}  {line.message}'
+    return f'  {_format_clock(line.at)}  {vm}  {line.code}  {line.message}'
 
 
-def _show(found: Any) -> str:
-    if isinstance(found, list):
-        return '; '.join(map(str, found)) or 'nobody'
-    return str(found)
+def _format_value(value: Any) -> str:
+    if isinstance(value, list):
+        return '; '.join(map(str, value)) or 'nobody'
+    return str(value)
--- a/libs/cli/src/verbenamill_cli/results.py
+++ b/libs/cli/src/verbenamill_cli/results.py
@@ -1,24 +1,24 @@
-"""Chaining of outcomes across awaits."""
+"""Composition of results with asynchronous functions."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
 from returns.result import Failure, Result
 
-Found = TypeVar('Found')
-Next = TypeVar('Next')
+Value = TypeVar('Value')
+NextValue = TypeVar('NextValue')
 Error = TypeVar('Error')
-GoOn = Callable[[Found], Awaitable[Result[Next, Error]]]
+AsyncFunction = Callable[[Value], Awaitable[Result[NextValue, Error]]]
 
 
-async def and_then(
-    outcome: Result[Found, Error],
-    go_on: GoOn[Found, Next, Error],
-) -> Result[Next, Error]:
-    """``Result.bind`` for a function that awaits.
+async def bind_async(
+    result: Result[Value, Error],
+    function: AsyncFunction[Value, NextValue, Error],
+) -> Result[NextValue, Error]:
+    """``Result.bind`` for an asynchronous function.
 
-    :returns: what ``go_on`` makes of the value, or the first error.
+    :returns: the result of ``function`` for the value, or the given error.
     """
-    if isinstance(outcome, Failure):
-        return Failure(outcome.failure())
-    return await go_on(outcome.unwrap())
+    if isinstance(result, Failure):
+        return Failure(result.failure())
+    return await function(result.unwrap())
--- a/libs/cli/src/verbenamill_cli/retrying_log.py
+++ b/libs/cli/src/verbenamill_cli/retrying_log.py
@@ -1,4 +1,4 @@
-"""Reads of the log that outlast a short outage."""
+"""Log client whose reads are retried through a short outage."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -11,14 +11,14 @@
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, LogPage, full_jitter
 
-FIRST_WAIT = timedelta(milliseconds=200)
-LONGEST_WAIT = timedelta(seconds=2)
+FIRST_RETRY_DELAY = timedelta(milliseconds=200)
+MAX_RETRY_DELAY = timedelta(seconds=2)
 
 
-class PatientLog:
-    """A log whose reads are tried again until a command's time is over.
+class RetryingLog:
+    """A log whose reads are retried until the command's time limit.
 
-    :param limit: time for all tries of the command together.
+    :param limit: time for all attempts of the command together.
     """
 
     def __init__(self, log: Log, *, limit: timedelta, random: Random) -> None:
@@ -27,8 +27,8 @@
         self._deadline = trio.current_time() + limit.total_seconds()
 
     @property
-    def is_over(self) -> bool:
-        """Whether the command's time is over."""
+    def is_timed_out(self) -> bool:
+        """Whether the command's time limit has passed."""
         return trio.current_time() >= self._deadline
 
     async def append(
@@ -36,7 +36,7 @@
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append once; the caller decides what a failure means."""
+        """Append once, without a retry; callers handle the failure."""
         return await self._log.append(stream, body)
 
     async def read(
@@ -47,8 +47,8 @@
         limit: int = 500,
         wait: timedelta = timedelta(0),
     ) -> Result[LogPage, LogError]:
-        """Read; a failure other than an expired offset is tried again."""
-        waits = self.waits()
+        """Read, and retry any failure other than an expired offset."""
+        delays = self.retry_delays()
         while True:
             answer = await self._log.read(
                 stream,
@@ -59,21 +59,21 @@
             match answer:
                 case Success(_) | Failure(LogError(fault=LogFault.EXPIRED)):
                     return answer
-            if self.is_over:
+            if self.is_timed_out:
                 return answer
-            await trio.sleep(next(waits).total_seconds())
+            await trio.sleep(next(delays).total_seconds())
 
-    def waits(self) -> Iterator[timedelta]:
-        """Waiting times between tries."""
+    def retry_delays(self) -> Iterator[timedelta]:
+        """Delays between attempts, with full jitter."""
         return full_jitter(
             self._random,
-            first=FIRST_WAIT,
-            longest=LONGEST_WAIT,
+            first=FIRST_RETRY_DELAY,
+            longest=MAX_RETRY_DELAY,
         )
 
 
-def unavailable(error: LogError) -> CliError:
-    """Error for a log that did not answer in time."""
+def log_unavailable(error: LogError) -> CliError:
+    """Error for a log that did not answer within the time limit."""
     return CliError(
         code=ExitCode.UNAVAILABLE,
         message=f'the log does not answer: {error.detail}',
--- a/libs/cli/src/verbenamill_cli/status.py
+++ b/libs/cli/src/verbenamill_cli/status.py
@@ -1,27 +1,28 @@
-"""Which daemon runs which version, which ones lag, and why."""
+"""Report of the version of every daemon, and why some lag."""
 
 from collections import Counter
 from collections.abc import Sequence
 
 from msgspec import Struct
 
-from verbenamill_cli.daemons import Surveyed
-from verbenamill_model.status import Status
+from verbenamill_cli.daemons import SurveyedDaemon
 from verbenamill_cli.errors import ExitCode
 from verbenamill_cli.history import History
-from verbenamill_cli.output import Report, table
+from verbenamill_cli.output import Report, format_table
+from verbenamill_model.status import Status
 from verbenamill_model.traffic import Upstream
 from verbenamill_model.typing import AvailabilityZone, VmId
 
-#: Daemons that are named one by one; of a larger fleet only those that lag.
-MAX_SHOWN = 60
+#: Largest fleet of which every daemon is listed, and most lagging daemons that
+#: are listed of a larger one.
+MAX_LISTED_DAEMONS = 60
 
 
 class DaemonStatus(Struct, frozen=True, kw_only=True):
-    """One daemon's line of the report.
+    """Line of the report about one daemon.
 
     :param upstream: service, version and state of its upstream.
-    :param reason: why it lags, empty when it does not.
+    :param reason: why the daemon lags; empty when it does not.
     """
 
     id: VmId
@@ -33,12 +34,12 @@
 
 
 class FleetStatus(Struct, frozen=True, kw_only=True):
-    """The whole report.
+    """Content of the report.
 
-    :param head: last offset of the log, or the highest among the daemons
-        when the log does not answer.
-    :param version: version that all should run.
-    :param log: ``reachable``, or why it is not.
+    :param head: last offset of the log, or the highest offset among the
+        daemons when the log does not answer.
+    :param version: version that all daemons should run.
+    :param log: text that describes the state of the log.
     """
 
     head: int
@@ -47,20 +48,20 @@
     daemons: tuple[DaemonStatus, ...]
 
 
-def report_status(
-    surveyed: list[Surveyed],
+def format_status(
+    daemons: list[SurveyedDaemon],
     history: History | None,
     log: str,
     *,
     show_all: bool = False,
 ) -> Report:
-    """Compare what the daemons run with the end of the log.
+    """Report what the daemons run, compared with the end of the log.
 
-    :param history: the folded log, or ``None`` when it does not answer.
-    :param log: what to say of the log.
-    :param show_all: name every daemon of a large fleet too.
+    :param history: the folded log, or ``None`` when the log does not answer.
+    :param log: text that describes the state of the log.
+    :param show_all: list every daemon of a large fleet too.
     """
-    fleet = judge(surveyed, history, log)
+    fleet = compare_with_log(daemons, history, log)
     lagging = [daemon for daemon in fleet.daemons if daemon.reason]
     return Report(
         data=fleet,
@@ -68,40 +69,45 @@
             f'log: {fleet.log}; last record {fleet.head}, '
             f'version {fleet.version}',
             f'{len(fleet.daemons)} daemons, {len(lagging)} not up to date',
-            *_show(fleet, lagging, show_all=show_all),
+            *_format_daemons_or_zones(fleet, lagging, show_all=show_all),
         ),
         code=ExitCode.LAGGING if lagging else ExitCode.OK,
     )
 
 
-def judge(
-    surveyed: list[Surveyed],
+def compare_with_log(
+    daemons: list[SurveyedDaemon],
     history: History | None,
     log: str,
 ) -> FleetStatus:
-    """Find which daemons lag behind, and why."""
-    answers = (daemon.answer for daemon in surveyed)
+    """Find the daemons that lag behind the log, and why."""
+    answers = (daemon.answer for daemon in daemons)
     statuses = [answer for answer in answers if isinstance(answer, Status)]
     if history is None:
         head = max((status.offset for status in statuses), default=-1)
         version = max((status.version for status in statuses), default=-1)
     else:
-        # The log was read before the daemons were asked, so a daemon that
-        # is beyond this is not ahead of the others: time has passed.
+        # The log was read before the daemons were queried. A daemon with a
+        # higher offset has read a newer record, which is no fault.
         head = history.state.offset
         version = history.state.snapshot.version
-    reasons = _Reasons(statuses, history, head)
+    diagnosis = _LagDiagnosis(statuses, history, head)
     return FleetStatus(
         head=head,
         version=version,
         log=log,
-        daemons=tuple(_judge_one(daemon, reasons) for daemon in surveyed),
+        daemons=tuple(
+            _describe_daemon(daemon, diagnosis) for daemon in daemons
+        ),
     )
 
 
-def _judge_one(surveyed: Surveyed, reasons: '_Reasons') -> DaemonStatus:
-    answer = surveyed.answer
-    member = surveyed.member
+def _describe_daemon(
+    daemon: SurveyedDaemon,
+    diagnosis: '_LagDiagnosis',
+) -> DaemonStatus:
+    answer = daemon.answer
+    member = daemon.member
     if isinstance(answer, Status):
         return DaemonStatus(
             id=member.id,
@@ -109,7 +115,7 @@
             upstream=_describe_upstream(member.upstream),
             version=answer.version,
             offset=answer.offset,
-            reason=reasons.of(answer),
+            reason=diagnosis.reason_for(answer),
         )
     return DaemonStatus(
         id=member.id,
@@ -128,8 +134,8 @@
     return f'{upstream.service} {upstream.version} {state}'
 
 
-class _Reasons:
-    """Why a daemon lags, in the light of the others."""
+class _LagDiagnosis:
+    """Explains why a daemon lags by comparison with the other daemons."""
 
     def __init__(
         self,
@@ -138,40 +144,44 @@
         head: int,
     ) -> None:
         self._head = head
-        self._zones = Counter(status.availability_zone for status in statuses)
-        self._behind = Counter(
+        self._daemons_by_zone = Counter(
+            status.availability_zone for status in statuses
+        )
+        self._behind_by_zone = Counter(
             status.availability_zone
             for status in statuses
             if status.offset < head
         )
-        self._most_members = max(
+        self._max_members = max(
             (status.members for status in statuses),
             default=0,
         )
-        self._digests = _known_digests(statuses, history)
+        self._expected_digests = _find_expected_digests(statuses, history)
 
-    def of(self, status: Status) -> str:
-        """The first reason that fits, or an empty text."""
-        expected = self._digests.get(status.offset)
+    def reason_for(self, status: Status) -> str:
+        """First reason that applies, or an empty text."""
+        expected = self._expected_digests.get(status.offset)
         if expected is not None and status.digest != expected:
             return (
                 f'its state at {status.offset} differs from the others: '
                 'restart it and report this'
             )
         if status.offset < self._head:
-            return self._why_behind(status)
+            return self._explain_missing_records(status)
         if not status.ready:
             return 'not ready: it has no configuration confirmed yet'
         return ''
 
-    def _why_behind(self, status: Status) -> str:
+    def _explain_missing_records(self, status: Status) -> str:
         zone = status.availability_zone
         missing = self._head - status.offset
         behind = f'{missing} record{"s" if missing > 1 else ""} behind'
-        if status.members == 1 and self._most_members > 1:
+        if status.members == 1 and self._max_members > 1:
             return f'{behind}: it is cut off from every other daemon'
-        is_whole_zone = self._behind[zone] == self._zones[zone]
-        if is_whole_zone and self._zones[zone] > 1:
+        is_whole_zone = (
+            self._behind_by_zone[zone] == self._daemons_by_zone[zone]
+        )
+        if is_whole_zone and self._daemons_by_zone[zone] > 1:
             return (
                 f'{behind}, as all of {zone}: its log readers do not reach '
                 'the log, or the zone is cut off'
@@ -181,62 +191,61 @@
         return f'{behind}: the change is on its way, or its links are slow'
 
 
-def _known_digests(
+def _find_expected_digests(
     statuses: list[Status],
     history: History | None,
 ) -> dict[int, str]:
-    """Right digest by offset: the log's, else the most common one."""
-    counted = Counter((status.offset, status.digest) for status in statuses)
+    """Expected digest by offset: that of the log, else the most common."""
+    counts = Counter((status.offset, status.digest) for status in statuses)
     digests = {
-        offset: digest
-        for (offset, digest), _ in reversed(counted.most_common())
+        offset: digest for (offset, digest), _ in reversed(counts.most_common())
     }
     if history is not None:
         digests[history.state.offset] = history.state.digest
     return digests
 
 
-def _show(
+def _format_daemons_or_zones(
     fleet: FleetStatus,
     lagging: list[DaemonStatus],
     *,
     show_all: bool,
 ) -> tuple[str, ...]:
-    if show_all or len(fleet.daemons) <= MAX_SHOWN:
-        return _show_daemons(fleet.daemons)
-    zones = _show_zones(fleet)
+    if show_all or len(fleet.daemons) <= MAX_LISTED_DAEMONS:
+        return _format_daemons(fleet.daemons)
+    zones = _format_zones(fleet)
     if not lagging:
         return zones
-    hidden = len(lagging) - MAX_SHOWN
+    hidden = len(lagging) - MAX_LISTED_DAEMONS
     rest = (f'and {hidden} more; --all names every daemon',)
     return (
         *zones,
-        *_show_daemons(lagging[:MAX_SHOWN]),
+        *_format_daemons(lagging[:MAX_LISTED_DAEMONS]),
         *(rest if hidden > 0 else ()),
     )
 
 
-def _show_zones(fleet: FleetStatus) -> tuple[str, ...]:
+def _format_zones(fleet: FleetStatus) -> tuple[str, ...]:
     zones = Counter(daemon.availability_zone for daemon in fleet.daemons)
     lagging = Counter(
         daemon.availability_zone for daemon in fleet.daemons if daemon.reason
     )
-    return table(
+    return format_table(
         ('ZONE', 'DAEMONS', 'NOT UP TO DATE'),
         ((zone, zones[zone], lagging[zone]) for zone in sorted(zones)),
     )
 
 
-def _show_daemons(daemons: Sequence[DaemonStatus]) -> tuple[str, ...]:
-    return table(
+def _format_daemons(daemons: Sequence[DaemonStatus]) -> tuple[str, ...]:
+    return format_table(
         ('DAEMON', 'ZONE', 'UPSTREAM', 'VERSION', 'OFFSET', 'STATE'),
         (
             (
                 daemon.id,
                 daemon.availability_zone,
                 daemon.upstream,
-                _show_number(daemon.version),
-                _show_number(daemon.offset),
+                _format_number(daemon.version),
+                _format_number(daemon.offset),
                 daemon.reason or 'up to date',
             )
             for daemon in daemons
@@ -244,5 +253,5 @@
     )
 
 
-def _show_number(number: int | None) -> str:
+def _format_number(number: int | None) -> str:
     return '?' if number is None else str(number)
--- a/libs/cli/src/verbenamill_cli/status_command.py
+++ b/libs/cli/src/verbenamill_cli/status_command.py
@@ -1,4 +1,4 @@
-"""``verbenamill status``: asks every daemon and the log."""
+"""``verbenamill status``: queries every daemon and the log."""
 
 from typing import Annotated
 
@@ -6,27 +6,28 @@
 import typer
 from returns.result import Failure, Result, Success
 
-from verbenamill_cli.daemons import Surveyed, find_members, survey
-from verbenamill_cli.environment import Environment, need_url
+from verbenamill_cli.daemons import SurveyedDaemon, find_members, query_daemons
+from verbenamill_cli.environment import Environment, require_url
 from verbenamill_cli.errors import CliError
 from verbenamill_cli.history import History, read_history
 from verbenamill_cli.options import (
     DAEMON_VARIABLE,
     AsJson,
     DaemonUrl,
-    Found,
     LogUrl,
+    ReportResult,
     Timeout,
     environment_of,
     run_with_log,
 )
-from verbenamill_cli.output import finish
-from verbenamill_cli.results import and_then
-from verbenamill_cli.status import report_status
+from verbenamill_cli.output import print_and_exit
+from verbenamill_cli.results import bind_async
+from verbenamill_cli.status import format_status
 from verbenamill_model.traffic import Member
 from verbenamill_model.typing import VmId
 
-#: Daemons can be asked without the log, so status does not wait for it long.
+#: Default of ``--timeout``, in seconds. It is short because the daemons answer
+#: without the log.
 STATUS_TIMEOUT: float = 2
 
 
@@ -37,27 +38,27 @@
     timeout: Timeout = STATUS_TIMEOUT,
     show_all: Annotated[
         bool,
-        typer.Option('--all', help='Name every daemon of a large fleet.'),
+        typer.Option('--all', help='List every daemon of a large fleet.'),
     ] = False,
     as_json: AsJson = False,
 ) -> None:
-    """Show what every daemon runs, which ones lag, and why."""
+    """Show the version of every daemon, which ones lag, and why."""
     environment = environment_of(context)
 
-    def ask(url: str) -> Found:
-        history, told = _read_log_if_any(context, log, timeout)
-        surveyed = trio.run(_survey, environment, url)
-        return surveyed.map(
-            lambda found: report_status(
+    def report(url: str) -> ReportResult:
+        history, log_state = _read_log_if_any(context, log, timeout)
+        daemons = trio.run(_query_fleet, environment, url)
+        return daemons.map(
+            lambda found: format_status(
                 found,
                 history,
-                told,
+                log_state,
                 show_all=show_all,
             ),
         )
 
-    url = need_url(daemon, option='--daemon', variable=DAEMON_VARIABLE)
-    finish(url.bind(ask), as_json=as_json)
+    url = require_url(daemon, option='--daemon', variable=DAEMON_VARIABLE)
+    print_and_exit(url.bind(report), as_json=as_json)
 
 
 def _read_log_if_any(
@@ -65,7 +66,11 @@
     url: str,
     timeout: float,
 ) -> tuple[History | None, str]:
-    """The folded log, or ``None`` and what to say of it."""
+    """Fold the log.
+
+    :returns: the history, ``None`` without an answer of the log, and a text
+        that describes the state of the log.
+    """
     if not url:
         return None, 'not asked (give --log)'
     match run_with_log(context, url, timeout, read_history):
@@ -73,18 +78,18 @@
             return history, 'answers'
         case Failure(CliError(message=message)):
             return None, message
-    raise AssertionError('a result is a success or a failure')
+    raise AssertionError('unreachable: neither Success nor Failure')
 
 
-async def _survey(
+async def _query_fleet(
     environment: Environment,
     url: str,
-) -> Result[list[Surveyed], CliError]:
+) -> Result[list[SurveyedDaemon], CliError]:
     async with environment.open_client() as client:
 
-        async def ask(
+        async def query(
             members: dict[VmId, Member],
-        ) -> Result[list[Surveyed], CliError]:
-            return Success(await survey(client, members))
+        ) -> Result[list[SurveyedDaemon], CliError]:
+            return Success(await query_daemons(client, members))
 
-        return await and_then(await find_members(client, url), ask)
+        return await bind_async(await find_members(client, url), query)
--- a/libs/cli/src/verbenamill_cli/ticket_commands.py
+++ b/libs/cli/src/verbenamill_cli/ticket_commands.py
@@ -1,35 +1,35 @@
-"""``verbenamill ticket``: validate, publish, show and diff."""
+"""``verbenamill ticket``: validates, publishes, shows and diffs tickets."""
 
 from typing import Annotated
 
 import typer
 
-from verbenamill_cli.ticket_diff import diff
 from verbenamill_cli.history import History, read_history
 from verbenamill_cli.options import (
     DEFAULT_TIMEOUT,
     AsJson,
-    Found,
     LogUrl,
+    ReportResult,
     TicketFile,
     Timeout,
     environment_of,
     run_with_log,
 )
-from verbenamill_cli.output import Report, finish
-from verbenamill_cli.retrying_log import PatientLog
+from verbenamill_cli.output import Report, print_and_exit
 from verbenamill_cli.publish import publish
-from verbenamill_cli.ticket_lookup import show
+from verbenamill_cli.retrying_log import RetryingLog
+from verbenamill_cli.ticket_diff import diff
+from verbenamill_cli.ticket_lookup import report_ticket
 from verbenamill_cli.tickets import (
-    check_form,
+    format_published,
     load_ticket,
-    report_published,
     validate,
+    validate_form,
 )
 from verbenamill_model import Ticket
 from verbenamill_model.typing import TicketNumber
 
-app = typer.Typer(help='Numbered changes.', no_args_is_help=True)
+app = typer.Typer(help='Numbered changes (tickets).', no_args_is_help=True)
 
 
 @app.command('validate')
@@ -40,25 +40,25 @@
     timeout: Timeout = DEFAULT_TIMEOUT,
     as_json: AsJson = False,
 ) -> None:
-    """Say whether a ticket would be accepted; nothing is published.
+    """Check whether a ticket would be accepted, without publishing it.
 
-    Without a log only its form is checked.
+    Without a log, only the form of the ticket is checked.
     """
     now = environment_of(context).clock.now()
 
-    def check(ticket: Ticket) -> Found:
+    def check(ticket: Ticket) -> ReportResult:
         if not log:
-            return check_form(ticket)
+            return validate_form(ticket)
 
-        async def use(reader: PatientLog) -> Found:
+        async def read(reader: RetryingLog) -> ReportResult:
             history = await read_history(reader)
             return history.bind(
                 lambda known: validate(known, ticket, now=now),
             )
 
-        return run_with_log(context, log, timeout, use)
+        return run_with_log(context, log, timeout, read)
 
-    finish(load_ticket(file).bind(check), as_json=as_json)
+    print_and_exit(load_ticket(file).bind(check), as_json=as_json)
 
 
 @app.command('publish')
@@ -71,18 +71,18 @@
 ) -> None:
     """Publish a ticket and report whether it was accepted.
 
-    Running it again with the same file is harmless.
+    Running the command again with the same file is safe.
     """
     now = environment_of(context).clock.now()
 
-    def put(ticket: Ticket) -> Found:
-        async def use(writer: PatientLog) -> Found:
+    def publish_ticket(ticket: Ticket) -> ReportResult:
+        async def write(writer: RetryingLog) -> ReportResult:
             published = await publish(writer, ticket, now=now)
-            return published.map(report_published)
+            return published.map(format_published)
 
-        return run_with_log(context, log, timeout, use)
+        return run_with_log(context, log, timeout, write)
 
-    finish(load_ticket(file).bind(put), as_json=as_json)
+    print_and_exit(load_ticket(file).bind(publish_ticket), as_json=as_json)
 
 
 @app.command('show')
@@ -93,15 +93,15 @@
     timeout: Timeout = DEFAULT_TIMEOUT,
     as_json: AsJson = False,
 ) -> None:
-    """Show a published ticket and what became of it."""
+    """Show a published ticket and its outcome."""
 
-    async def use(reader: PatientLog) -> Found:
-        history = await read_history(reader, farthest=True)
+    async def read(reader: RetryingLog) -> ReportResult:
+        history = await read_history(reader, from_oldest=True)
         return history.bind(
-            lambda known: show(known, TicketNumber(number)),
+            lambda known: report_ticket(known, TicketNumber(number)),
         )
 
-    finish(run_with_log(context, log, timeout, use), as_json=as_json)
+    print_and_exit(run_with_log(context, log, timeout, read), as_json=as_json)
 
 
 @app.command('diff')
@@ -114,14 +114,14 @@
 ) -> None:
     """Show what a ticket would change."""
 
-    def compare(ticket: Ticket) -> Found:
-        async def use(reader: PatientLog) -> Found:
+    def compare(ticket: Ticket) -> ReportResult:
+        async def read(reader: RetryingLog) -> ReportResult:
             history = await read_history(reader)
             return history.map(lambda known: _report_diff(known, ticket))
 
-        return run_with_log(context, log, timeout, use)
+        return run_with_log(context, log, timeout, read)
 
-    finish(load_ticket(file).bind(compare), as_json=as_json)
+    print_and_exit(load_ticket(file).bind(compare), as_json=as_json)
 
 
 def _report_diff(history: History, ticket: Ticket) -> Report:
--- a/libs/cli/src/verbenamill_cli/ticket_diff.py
+++ b/libs/cli/src/verbenamill_cli/ticket_diff.py
@@ -1,4 +1,4 @@
-"""What a ticket would change, a line a resource."""
+"""Changes that a ticket would make, one line per resource."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 
 def diff(snapshot: Snapshot, ticket: Ticket) -> tuple[str, ...]:
-    """What a ticket would change in a snapshot, a line a resource."""
+    """List the changes of a ticket to a snapshot, one line per resource."""
     return (
         *_diff_services(snapshot, ticket),
         *_diff_routes(snapshot, ticket),
@@ -20,31 +20,31 @@
 
 
 def _diff_services(snapshot: Snapshot, ticket: Ticket) -> Iterator[str]:
-    for wanted in ticket.services:
-        known = snapshot.services.get(wanted.name)
-        if known is None:
-            yield f'+ service {wanted.name}: version {wanted.version}'
+    for service in ticket.services:
+        current = snapshot.services.get(service.name)
+        if current is None:
+            yield f'+ service {service.name}: version {service.version}'
             continue
-        changes = _diff_fields(known.service, wanted)
-        if known.move is not None:
-            changes += (f'ends move {known.move.id} as superseded',)
+        changes = _diff_fields(current.service, service)
+        if current.move is not None:
+            changes += (f'ends move {current.move.id} as superseded',)
         if changes:
-            yield f'~ service {wanted.name}: {"; ".join(changes)}'
+            yield f'~ service {service.name}: {"; ".join(changes)}'
         else:
-            yield f'= service {wanted.name}'
+            yield f'= service {service.name}'
 
 
 def _diff_routes(snapshot: Snapshot, ticket: Ticket) -> Iterator[str]:
-    for wanted in ticket.routes:
-        known = snapshot.routes.get(wanted.name)
-        if known is None:
-            yield f'+ route {wanted.name}: {wanted.prefix} to {wanted.service}'
+    for route in ticket.routes:
+        current = snapshot.routes.get(route.name)
+        if current is None:
+            yield f'+ route {route.name}: {route.prefix} to {route.service}'
             continue
-        changes = _diff_fields(known, wanted)
+        changes = _diff_fields(current, route)
         if changes:
-            yield f'~ route {wanted.name}: {"; ".join(changes)}'
+            yield f'~ route {route.name}: {"; ".join(changes)}'
         else:
-            yield f'= route {wanted.name}'
+            yield f'= route {route.name}'
 
 
 def _diff_fields(before: Struct, after: Struct) -> tuple[str, ...]:
--- a/libs/cli/src/verbenamill_cli/ticket_lookup.py
+++ b/libs/cli/src/verbenamill_cli/ticket_lookup.py
@@ -1,4 +1,4 @@
-"""Tickets as they stand on the log, and what became of them."""
+"""Lookup of tickets on the log and their outcome."""
 
 from collections.abc import Iterator
 from datetime import datetime
@@ -6,24 +6,24 @@
 from msgspec import Struct
 from returns.result import Failure, Result, Success
 
-from verbenamill_cli.ticket_diff import diff
 from verbenamill_cli.errors import CliError, ExitCode
-from verbenamill_cli.history import History, Step
-from verbenamill_cli.output import Report, show_time
-from verbenamill_cli.publish import ticket_of
+from verbenamill_cli.history import FoldedRecord, History
+from verbenamill_cli.output import Report, format_time
+from verbenamill_cli.publish import decode_ticket
+from verbenamill_cli.ticket_diff import diff
 from verbenamill_model import (
     Answer,
     Applied,
-    Refusal,
     Duplicate,
+    Refusal,
     Snapshot,
     Ticket,
 )
 from verbenamill_model.typing import Offset, TicketNumber
 
 
-class ShownTicket(Struct, frozen=True, kw_only=True):
-    """A ticket on the log and what became of it."""
+class TicketOnLog(Struct, frozen=True, kw_only=True):
+    """A ticket on the log and its outcome."""
 
     offset: Offset
     at: datetime
@@ -31,35 +31,35 @@
     ticket: Ticket
 
 
-def find_tickets(
+def find_ticket_records(
     history: History,
     number: TicketNumber,
-) -> tuple[ShownTicket, ...]:
-    """All records on the log that carry a ticket of this number."""
-    return tuple(_shown_tickets(history, number))
+) -> tuple[TicketOnLog, ...]:
+    """Find all records on the log that hold a ticket with this number."""
+    return tuple(_iterate_tickets(history, number))
 
 
-def _shown_tickets(
+def _iterate_tickets(
     history: History,
     number: TicketNumber,
-) -> Iterator[ShownTicket]:
-    for step in history.steps:
-        ticket = ticket_of(step)
+) -> Iterator[TicketOnLog]:
+    for record in history.records:
+        ticket = decode_ticket(record)
         if ticket is not None and ticket.number == number:
-            yield _shown(step, ticket)
+            yield _convert_record(record, ticket)
 
 
-def _shown(step: Step, ticket: Ticket) -> ShownTicket:
-    return ShownTicket(
-        offset=step.entry.offset,
-        at=step.entry.at,
-        outcome=describe_answer(step.answer),
+def _convert_record(record: FoldedRecord, ticket: Ticket) -> TicketOnLog:
+    return TicketOnLog(
+        offset=record.entry.offset,
+        at=record.entry.at,
+        outcome=describe_outcome(record.answer),
         ticket=ticket,
     )
 
 
-def describe_answer(answer: Answer) -> str:
-    """What became of a record, in a few words."""
+def describe_outcome(answer: Answer) -> str:
+    """Describe the outcome of a record in a few words."""
     match answer:
         case Applied():
             return 'accepted'
@@ -69,28 +69,28 @@
             return f'refused: {reason}'
 
 
-def show(
+def report_ticket(
     history: History,
     number: TicketNumber,
 ) -> Result[Report, CliError]:
-    """Show a ticket as it stands on the log."""
-    found = find_tickets(history, number)
-    if found:
+    """Report all records of a ticket, or its audit trail if they expired."""
+    tickets = find_ticket_records(history, number)
+    if tickets:
         return Success(
             Report(
-                data=found,
+                data=tickets,
                 lines=tuple(
-                    line for shown in found for line in _show_lines(shown)
+                    line for shown in tickets for line in _format_ticket(shown)
                 ),
             ),
         )
-    return _show_expired(history, number)
+    return _report_expired_ticket(history, number)
 
 
-def _show_lines(shown: ShownTicket) -> Iterator[str]:
+def _format_ticket(shown: TicketOnLog) -> Iterator[str]:
     yield (
         f'ticket {shown.ticket.number} at offset {shown.offset}, '
-        f'{show_time(shown.at)}, {shown.outcome}'
+        f'{format_time(shown.at)}, {shown.outcome}'
     )
     yield f'author: {shown.ticket.author}'
     if shown.ticket.note:
@@ -98,7 +98,7 @@
     yield from (f'  {change}' for change in diff(Snapshot(), shown.ticket))
 
 
-def _show_expired(
+def _report_expired_ticket(
     history: History,
     number: TicketNumber,
 ) -> Result[Report, CliError]:
@@ -117,7 +117,7 @@
             lines=(
                 f'ticket {number} has expired from the log; its audit trail:',
                 *(
-                    f'{show_time(line.at)}  {line.author}: {line.text}'
+                    f'{format_time(line.at)}  {line.author}: {line.text}'
                     for line in lines
                 ),
             ),
--- a/libs/cli/src/verbenamill_cli/tickets.py
+++ b/libs/cli/src/verbenamill_cli/tickets.py
@@ -1,20 +1,20 @@
-"""Ticket files, and whether they would be accepted."""
+"""Loading and validation of ticket files, and reports of the results."""
 
 from datetime import datetime
 from pathlib import Path
 
 from returns.result import Failure, Result, Success
 
-from verbenamill_cli.ticket_diff import diff
 from verbenamill_cli.errors import CliError, ExitCode
 from verbenamill_cli.history import History
-from verbenamill_cli.output import Report, show_time
-from verbenamill_cli.publish import Published, predict
+from verbenamill_cli.output import Report, format_time
+from verbenamill_cli.publish import Published, predict_answer
+from verbenamill_cli.ticket_diff import diff
 from verbenamill_model import (
     Applied,
+    Duplicate,
     Move,
     Refusal,
-    Duplicate,
     Ticket,
     find_faults,
     find_form_faults,
@@ -50,11 +50,11 @@
     *,
     now: datetime,
 ) -> Result[Report, CliError]:
-    """Say whether a ticket would be accepted now."""
+    """Report whether a ticket would be accepted now."""
     faults = find_faults(history.state.snapshot, ticket, now)
-    match predict(history, ticket, now=now):
+    match predict_answer(history, ticket, now=now):
         case Refusal(reason=reason):
-            return Failure(_faulty(ticket, faults or (reason,)))
+            return Failure(_faults_error(ticket, faults or (reason,)))
         case Duplicate():
             text = f'ticket {ticket.number} is in force already'
         case Applied():
@@ -68,11 +68,11 @@
     )
 
 
-def check_form(ticket: Ticket) -> Result[Report, CliError]:
-    """Check what can be said of a ticket without the log."""
+def validate_form(ticket: Ticket) -> Result[Report, CliError]:
+    """Check the properties of a ticket that do not depend on the log."""
     faults = find_form_faults(ticket)
     if faults:
-        return Failure(_faulty(ticket, faults))
+        return Failure(_faults_error(ticket, faults))
     return Success(
         Report(
             data={'ticket': ticket.number, 'valid': None, 'form': True},
@@ -84,7 +84,7 @@
     )
 
 
-def _faulty(ticket: Ticket, faults: tuple[str, ...]) -> CliError:
+def _faults_error(ticket: Ticket, faults: tuple[str, ...]) -> CliError:
     return CliError(
         code=ExitCode.FAULTY,
         message=f'ticket {ticket.number} would be refused',
@@ -93,18 +93,18 @@
     )
 
 
-def report_published(published: Published) -> Report:
-    """Tell of an accepted ticket and the moves it began."""
+def format_published(published: Published) -> Report:
+    """Format an accepted ticket and the moves that it began."""
     if published.repeated:
-        place = 'was accepted before; nothing new was changed'
+        outcome = 'was accepted before; nothing new was changed'
     else:
-        place = f'accepted at offset {published.offset}'
+        outcome = f'accepted at offset {published.offset}'
     moves = (f'  {describe_move(move)}' for move in published.moves)
     hint = ('follow them with: verbenamill verdicts --follow',)
     return Report(
         data=published,
         lines=(
-            f'ticket {published.ticket} {place}',
+            f'ticket {published.ticket} {outcome}',
             *moves,
             *(hint if published.moves else ()),
         ),
@@ -112,8 +112,8 @@
 
 
 def describe_move(move: Move) -> str:
-    """One line about a move."""
+    """Describe a move in one line."""
     return (
         f'move {move.id}: {move.service} from {move.old} to {move.new} '
-        f'by {show_time(move.deadline)} ({move.profile.value})'
+        f'by {format_time(move.deadline)} ({move.profile.value})'
     )
--- a/libs/cli/src/verbenamill_cli/verdicts.py
+++ b/libs/cli/src/verbenamill_cli/verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts of moves, once or as they come."""
+"""Listing and following the verdicts of moves."""
 
 from collections.abc import Callable, Iterable, Iterator
 from datetime import timedelta
@@ -8,38 +8,42 @@
 from returns.result import Failure, Success
 
 from verbenamill_cli.history import History, read_history
-from verbenamill_cli.output import Report, show_time, table
-from verbenamill_cli.retrying_log import FIRST_WAIT, LONGEST_WAIT, PatientLog
+from verbenamill_cli.output import Report, format_table, format_time
+from verbenamill_cli.retrying_log import (
+    FIRST_RETRY_DELAY,
+    MAX_RETRY_DELAY,
+    RetryingLog,
+)
 from verbenamill_model import Verdict
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, full_jitter
 from verbenamill_runtime.streams import CONFIG_STREAM
 
-#: Longest a read of the log waits for the next record.
-LONG_POLL = timedelta(seconds=20)
-#: Time for reading what is on the log already, before it is tried again.
-CATCH_UP = timedelta(seconds=30)
+#: Longest time for which a read of the log waits for the next record.
+LONG_POLL_WAIT = timedelta(seconds=20)
+#: Time limit of one attempt to read the records that are already on the log.
+CATCH_UP_TIMEOUT = timedelta(seconds=30)
 
 HEADER = ('TIME', 'MOVE', 'TICKET', 'SERVICE', 'TO', 'VERDICT', 'WHY')
 
 
-def report_verdicts(verdicts: Iterable[Verdict]) -> Report:
-    """Show verdicts, newest last."""
-    found = tuple(verdicts)
-    if not found:
-        return Report(data=found, lines=('no verdict yet',))
-    return Report(data=found, lines=table(HEADER, map(_row, found)))
+def format_verdicts(verdicts: Iterable[Verdict]) -> Report:
+    """Format a table of verdicts, newest last."""
+    listed = tuple(verdicts)
+    if not listed:
+        return Report(data=listed, lines=('no verdict yet',))
+    return Report(data=listed, lines=format_table(HEADER, map(_row, listed)))
 
 
-def report_verdict(verdict: Verdict) -> Report:
-    """Show one verdict as it comes."""
+def format_verdict(verdict: Verdict) -> Report:
+    """Format one verdict as a line, for ``--follow``."""
     line = '  '.join(map(str, _row(verdict)))
     return Report(data=verdict, lines=(line,))
 
 
 def _row(verdict: Verdict) -> list[object]:
     return [
-        show_time(verdict.at),
+        format_time(verdict.at),
         verdict.move.id,
         verdict.move.ticket,
         verdict.move.service,
@@ -49,88 +53,94 @@
     ]
 
 
-class Follower:
-    """Tells each verdict once; an outage of the log only delays them.
+class VerdictFollower:
+    """Reports each verdict once; an outage of the log only delays it.
 
-    :param tell: takes each verdict, oldest first.
-    :param warn: takes a line about the log.
+    :param on_verdict: is called with each verdict, oldest first.
+    :param on_warning: is called with a line about the state of the log.
     """
 
     def __init__(
         self,
         log: Log,
         *,
-        tell: Callable[[Verdict], None],
-        warn: Callable[[str], None],
+        on_verdict: Callable[[Verdict], None],
+        on_warning: Callable[[str], None],
         random: Random,
     ) -> None:
         self._log = log
-        self._tell = tell
-        self._warn = warn
+        self._on_verdict = on_verdict
+        self._on_warning = on_warning
         self._random = random
-        self._told = Offset(-1)
-        self._is_down = False
+        self._last_reported = Offset(-1)
+        self._is_unreachable = False
 
     async def run(self) -> None:
         """Follow the log until cancelled."""
         while True:
             history = await self._read_history()
-            self._pass_on(history)
+            self._report_new_verdicts(history)
             await self._poll(history)
 
     async def _read_history(self) -> History:
         while True:
-            log = PatientLog(self._log, limit=CATCH_UP, random=self._random)
+            log = RetryingLog(
+                self._log,
+                limit=CATCH_UP_TIMEOUT,
+                random=self._random,
+            )
             match await read_history(log):
                 case Success(History() as history):
-                    self._note_answer()
+                    self._warn_of_recovery()
                     return history
                 case Failure(error):
-                    self._note_fault(error.message)
-                    await trio.sleep(LONGEST_WAIT.total_seconds())
+                    self._warn_of_outage(error.message)
+                    await trio.sleep(MAX_RETRY_DELAY.total_seconds())
 
     async def _poll(self, history: History) -> None:
-        """Follow on, until the log's head has passed this reader by."""
-        waits = self._waits()
+        """Read new records until the next one has expired from the log."""
+        delays = self._retry_delays()
         while True:
             following = Offset(history.state.offset + 1)
             match await self._log.read(
-                CONFIG_STREAM, following, wait=LONG_POLL
+                CONFIG_STREAM,
+                following,
+                wait=LONG_POLL_WAIT,
             ):
                 case Success(page):
-                    self._note_answer()
-                    waits = self._waits()
-                    history.steps.clear()
+                    self._warn_of_recovery()
+                    delays = self._retry_delays()
+                    history.records.clear()
                     for entry in page.entries:
-                        history.take(entry)
-                    self._pass_on(history)
+                        history.fold(entry)
+                    self._report_new_verdicts(history)
                 case Failure(LogError(fault=LogFault.EXPIRED)):
                     return
                 case Failure(error):
-                    self._note_fault(error.detail)
-                    await trio.sleep(next(waits).total_seconds())
+                    self._warn_of_outage(error.detail)
+                    await trio.sleep(next(delays).total_seconds())
 
-    def _pass_on(self, history: History) -> None:
+    def _report_new_verdicts(self, history: History) -> None:
         for verdict in history.verdicts():
-            if verdict.offset > self._told:
-                self._tell(verdict)
-        self._told = max(self._told, history.state.offset)
+            if verdict.offset > self._last_reported:
+                self._on_verdict(verdict)
+        self._last_reported = max(self._last_reported, history.state.offset)
 
-    def _waits(self) -> Iterator[timedelta]:
+    def _retry_delays(self) -> Iterator[timedelta]:
         return full_jitter(
             self._random,
-            first=FIRST_WAIT,
-            longest=LONGEST_WAIT,
+            first=FIRST_RETRY_DELAY,
+            longest=MAX_RETRY_DELAY,
         )
 
-    def _note_fault(self, detail: str) -> None:
-        # Said once an outage: a terminal full of the same line would hide
-        # the verdicts before it.
-        if not self._is_down:
-            self._is_down = True
-            self._warn(f'the log does not answer, trying on: {detail}')
-
-    def _note_answer(self) -> None:
-        if self._is_down:
-            self._is_down = False
-            self._warn('the log answers again')
+    def _warn_of_outage(self, detail: str) -> None:
+        # Warns once per outage, because repeated warnings would scroll
+        # earlier verdicts off the terminal.
+        if not self._is_unreachable:
+            self._is_unreachable = True
+            self._on_warning(f'the log does not answer, trying on: {detail}')
+
+    def _warn_of_recovery(self) -> None:
+        if self._is_unreachable:
+            self._is_unreachable = False
+            self._on_warning('the log answers again')
--- a/libs/cli/tests/test_explain.py
+++ b/libs/cli/tests/test_explain.py
@@ -5,7 +5,11 @@
 from returns.result import Failure, Success
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.request_trace import read_lines, report_story, tell_story
+from verbenamill_cli.request_trace import (
+    decode_lines,
+    format_trace,
+    trace_request,
+)
 
 
 def line(second, source, code, message, **fields):
@@ -42,9 +46,9 @@
 
 
 def test_the_story_is_in_order_with_what_was_believed():
-    lines, unreadable = read_lines(LOG)
+    lines, unreadable = decode_lines(LOG)
     assert unreadable == 2
-    match tell_story('abc', lines, unreadable):
+    match trace_request('abc', lines, unreadable):
         case Success(story):
             assert [one.vm for one in story.lines] == ['vm2', 'vm1']
             assert story.cause.fields['reason'] == 'no slot in time'
@@ -52,31 +56,31 @@
             assert set(beliefs) == {'configuration', 'daemon vm2'}
             assert beliefs['configuration'].message == 'running version 7'
             assert round(beliefs['configuration'].age, 3) == 3.6
-            text = '\n'.join(report_story(story).lines)
+            text = '\n'.join(format_trace(story).lines)
             assert 'decided by VM6008 at vm1' in text
         case Failure(error):
             raise AssertionError(error)
 
 
 def test_a_nested_call_explains_the_request_that_made_it():
-    lines, _ = read_lines(
+    lines, _ = decode_lines(
         [
             line(1, 'vm1', 'VM6008', 'nested refused', request='a.b'),
             line(2, 'vm2', 'VM6008', 'failed with 500', request='a'),
         ],
     )
-    story = tell_story('a', lines).unwrap()
+    story = trace_request('a', lines).unwrap()
     assert story.cause.request == 'a.b'
     assert len(story.lines) == 2
 
 
 def test_an_unknown_id_and_another_format_are_told_apart():
-    lines, unreadable = read_lines(LOG)
-    missing = tell_story('xyz', lines, unreadable).failure()
+    lines, unreadable = decode_lines(LOG)
+    missing = trace_request('xyz', lines, unreadable).failure()
     assert missing.code is ExitCode.NOT_FOUND
     assert 'no line of 7' in missing.message
-    other, faulty = read_lines(['plain text', 'more'])
-    wrong = tell_story('abc', other, faulty).failure()
+    other, faulty = decode_lines(['plain text', 'more'])
+    wrong = trace_request('abc', other, faulty).failure()
     assert 'format = "json"' in wrong.action
 
 
@@ -92,7 +96,7 @@
 
 
 def test_the_crashes_under_a_blocked_request_are_told():
-    lines, _ = read_lines(
+    lines, _ = decode_lines(
         [
             line(1, 'vm2', 'VM6013', 'crashed', fingerprints=['ab', 'cd']),
             line(2, 'vm3', 'VM6013', 'crashed', fingerprints=['cd']),
@@ -102,6 +106,6 @@
             line(4, 'vm1', 'VM6008', 'blocked', request='r', fingerprint='cd'),
         ],
     )
-    story = tell_story('r', lines).unwrap()
+    story = trace_request('r', lines).unwrap()
     assert [one.vm for one in story.crashes] == ['vm2', 'vm3', 'vm1']
-    assert 'crashes of upstreams' in '\n'.join(report_story(story).lines)
+    assert 'crashes of upstreams' in '\n'.join(format_trace(story).lines)
--- a/libs/cli/tests/test_follow.py
+++ b/libs/cli/tests/test_follow.py
@@ -5,7 +5,7 @@
 import trio
 import trio.testing
 
-from verbenamill_cli.verdicts import Follower
+from verbenamill_cli.verdicts import VerdictFollower
 from verbenamill_model import (
     Service,
     Ticket,
@@ -21,10 +21,10 @@
     told, warned = [], []
 
     async def main():
-        follower = Follower(
+        follower = VerdictFollower(
             log,
-            tell=lambda verdict: told.append(verdict.kind),
-            warn=warned.append,
+            on_verdict=lambda verdict: told.append(verdict.kind),
+            on_warning=warned.append,
             random=Random(2),
         )
         async with trio.open_nursery() as nursery:
--- a/libs/cli/tests/test_publish_faults.py
+++ b/libs/cli/tests/test_publish_faults.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_cli.errors import ExitCode
-from verbenamill_cli.retrying_log import PatientLog
+from verbenamill_cli.retrying_log import RetryingLog
 from verbenamill_cli.publish import publish
 from verbenamill_model import (
     Applied,
@@ -121,7 +121,7 @@
         log.reads += [False] * 10_000
 
     async def run():
-        patient = PatientLog(
+        patient = RetryingLog(
             log,
             limit=timedelta(seconds=10),
             random=Random(seed),
