--- a/libs/cli/src/verbenamill_cli/audit_stream.py
+++ b/libs/cli/src/verbenamill_cli/audit_stream.py
@@ -37,7 +37,7 @@
 
     async def add_lines(history: History) -> Result[LogRecords, CliError]:
         lines = await read_audit_stream(log)
-        return lines.map(lambda steps: LogRecords(history=history, lines=steps))
+        return lines.map(lambda found: LogRecords(history=history, lines=found))
 
     history = await read_history(log, from_oldest=from_oldest)
     return await bind_async(history, add_lines)
@@ -51,28 +51,24 @@
     A daemon that lost the answer to an append writes the line again, so equal
     lines represent one step.
     """
-    unique_lines: dict[AuditLine, None] = {}
+    steps: dict[AuditLine, None] = {}
     start = Offset(0)
     while True:
         match await log.read(AUDIT_STREAM, start):
             case Success(page):
-                lines = (
-                    decode_audit_line(entry.body) for entry in page.entries
-                )
-                unique_lines.update(
-                    (line, None) for line in lines if line is not None
-                )
+                lines = (decode_step(entry.body) for entry in page.entries)
+                steps.update((line, None) for line in lines if line is not None)
             case Failure(LogError(fault=LogFault.EXPIRED) as expired):
                 start = expired.oldest or start
                 continue
             case Failure(error):
                 return Failure(log_unavailable(error))
         if not page.entries:
-            return Success(sorted(unique_lines, key=_time_of))
+            return Success(sorted(steps, key=_time_of))
         start = Offset(page.entries[-1].offset + 1)
 
 
-def decode_audit_line(body: bytes) -> AuditLine | None:
+def decode_step(body: bytes) -> AuditLine | None:
     """Decode a step; ``None`` when the record is malformed."""
     try:
         return msgspec.json.decode(body, type=AuditLine)
