--- a/libs/cli/src/verbenamill_cli/audit_stream.py
+++ b/libs/cli/src/verbenamill_cli/audit_stream.py
@@ -25,7 +25,7 @@
     lines: list[AuditLine]
 
 
-async def read_log_records(
+async def read_records(
     log: RetryingLog,
     *,
     from_oldest: bool,
@@ -36,20 +36,18 @@
     """
 
     async def add_lines(history: History) -> Result[LogRecords, CliError]:
-        lines = await read_audit_stream(log)
+        lines = await read_steps(log)
         return lines.map(lambda found: LogRecords(history=history, lines=found))
 
     history = await read_history(log, from_oldest=from_oldest)
     return await bind_async(history, add_lines)
 
 
-async def read_audit_stream(
-    log: RetryingLog,
-) -> Result[list[AuditLine], CliError]:
+async def read_steps(log: RetryingLog) -> Result[list[AuditLine], CliError]:
     """Read the steps of all moves, oldest first, without duplicates.
 
-    A daemon that lost the answer to an append writes the line again, so equal
-    lines represent one step.
+    A daemon that lost the answer of an append writes its line again, so
+    equal lines are one step.
     """
     steps: dict[AuditLine, None] = {}
     start = Offset(0)
--- a/libs/cli/src/verbenamill_cli/main.py
+++ b/libs/cli/src/verbenamill_cli/main.py
@@ -6,7 +6,7 @@
 import typer
 
 from verbenamill_cli.audit import build_audit_trail, filter_trail, format_trail
-from verbenamill_cli.audit_stream import LogRecords, read_log_records
+from verbenamill_cli.audit_stream import LogRecords, read_records
 from verbenamill_cli.checks import check_settings_file
 from verbenamill_cli.errors import ExitCode
 from verbenamill_cli.fleet_commands import app as fleet_app
@@ -132,7 +132,7 @@
 
     async def read(reader: RetryingLog) -> ReportResult:
         needs_old_records = last == 0 or last > MAX_HISTORY or ticket or text
-        records = await read_log_records(
+        records = await read_records(
             reader,
             from_oldest=bool(needs_old_records),
         )
--- a/libs/cli/src/verbenamill_cli/move_commands.py
+++ b/libs/cli/src/verbenamill_cli/move_commands.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 from returns.result import Result, Success
 
-from verbenamill_cli.audit_stream import read_log_records
+from verbenamill_cli.audit_stream import read_records
 from verbenamill_cli.environment import Environment
 from verbenamill_cli.errors import CliError
 from verbenamill_cli.move_timeline import (
@@ -82,7 +82,7 @@
     *,
     from_oldest: bool,
 ) -> Result[MoveTimeline, CliError]:
-    records = await read_log_records(reader, from_oldest=from_oldest)
+    records = await read_records(reader, from_oldest=from_oldest)
     return records.bind(
         lambda known: build_timeline(known.history, known.lines, move),
     )
