--- a/libs/cli/src/verbenamill_cli/environment.py
+++ b/libs/cli/src/verbenamill_cli/environment.py
@@ -70,7 +70,10 @@
 
 
 def require_url(
-    url: str, *, option: str, variable: str
+    url: str,
+    *,
+    option: str,
+    variable: str,
 ) -> Result[str, CliError]:
     """Check that an HTTP URL was given, and strip trailing slashes."""
     if not url:
--- a/libs/cli/src/verbenamill_cli/main.py
+++ b/libs/cli/src/verbenamill_cli/main.py
@@ -73,7 +73,7 @@
 
     async def read(reader: RetryingLog) -> ReportResult:
         history = await read_history(reader)
-        return history.map(lambda known: format_verdicts(known.verdicts()))
+        return history.map(lambda folded: format_verdicts(folded.verdicts()))
 
     print_and_exit(run_with_log(context, log, timeout, read), as_json=as_json)
 
@@ -136,12 +136,12 @@
             reader,
             from_oldest=bool(needs_old_records),
         )
-        return records.map(format_wanted)
+        return records.map(format_selected)
 
-    def format_wanted(records: LogRecords) -> Report:
+    def format_selected(records: LogRecords) -> Report:
         trail = build_audit_trail(records.history, records.lines)
-        wanted = filter_trail(trail, ticket=ticket, text=text, last=last)
-        return format_trail(wanted)
+        selected = filter_trail(trail, ticket=ticket, text=text, last=last)
+        return format_trail(selected)
 
     print_and_exit(run_with_log(context, log, timeout, read), as_json=as_json)
 
--- a/libs/cli/src/verbenamill_cli/move_commands.py
+++ b/libs/cli/src/verbenamill_cli/move_commands.py
@@ -84,7 +84,7 @@
 ) -> Result[MoveTimeline, CliError]:
     records = await read_records(reader, from_oldest=from_oldest)
     return records.bind(
-        lambda known: build_timeline(known.history, known.lines, move),
+        lambda found: build_timeline(found.history, found.lines, move),
     )
 
 
--- a/libs/cli/src/verbenamill_cli/move_timeline.py
+++ b/libs/cli/src/verbenamill_cli/move_timeline.py
@@ -51,24 +51,24 @@
 def build_timeline(
     history: History,
     lines: list[AuditLine],
-    wanted: Offset,
+    move_id: Offset,
 ) -> Result[MoveTimeline, CliError]:
     """Combine the ticket, steps and verdict of a move.
 
-    :param wanted: id of the move, which is the offset of its ticket.
+    :param move_id: id of the move, which is the offset of its ticket.
     """
-    steps = tuple(line for line in lines if line.move == wanted)
+    steps = tuple(line for line in lines if line.move == move_id)
     moves = {move.id: move for move in list_known_moves(history)}
-    move = moves.get(wanted)
+    move = moves.get(move_id)
     if move is None and not steps:
-        return Failure(_not_found(wanted, moves))
-    opened = (line for line in history.audit() if line.offset == wanted)
+        return Failure(_not_found(move_id, moves))
+    opened = (line for line in history.audit() if line.offset == move_id)
     verdicts = (
-        known for known in history.verdicts() if known.move.id == wanted
+        verdict for verdict in history.verdicts() if verdict.move.id == move_id
     )
     return Success(
         MoveTimeline(
-            id=wanted,
+            id=move_id,
             move=move,
             opened=next(opened, None),
             steps=steps,
@@ -77,15 +77,15 @@
     )
 
 
-def _not_found(wanted: Offset, moves: dict[Offset, Move]) -> CliError:
+def _not_found(move_id: Offset, moves: dict[Offset, Move]) -> CliError:
     same_ticket = [
         str(move.id)
         for move in moves.values()
-        if int(move.ticket) == int(wanted)
+        if int(move.ticket) == int(move_id)
     ]
     if same_ticket:
         action = (
-            f'{wanted} is a ticket, and a move is named by the offset of '
+            f'{move_id} is a ticket, and a move is named by the offset of '
             f'its ticket; this one began {", ".join(same_ticket)}'
         )
     elif moves:
@@ -95,7 +95,7 @@
         action = 'no move is known yet; a ticket with a deadline begins one'
     return CliError(
         code=ExitCode.NOT_FOUND,
-        message=f'move {wanted} is not known',
+        message=f'move {move_id} is not known',
         action=action,
     )
 
@@ -108,7 +108,7 @@
     """Fetch the state of a running move, or the reason why there is none."""
     match await fetch(client, f'{url}/moves', list[RunningMove]):
         case Success(running):
-            matching = (known for known in running if known.move.id == move)
+            matching = (state for state in running if state.move.id == move)
             return next(matching, 'the daemon does not run this move')
         case Failure(reason):
             return f'the daemon at {url} {reason}'
--- a/libs/cli/src/verbenamill_cli/publish.py
+++ b/libs/cli/src/verbenamill_cli/publish.py
@@ -164,9 +164,9 @@
 
 def _moves_begun(history: History, offset: Offset) -> tuple[Move, ...]:
     running = (
-        known.move
-        for known in history.state.snapshot.services.values()
-        if known.move is not None
+        service.move
+        for service in history.state.snapshot.services.values()
+        if service.move is not None
     )
     settled = (verdict.move for verdict in history.verdicts())
     return tuple(move for move in (*running, *settled) if move.id == offset)
--- a/libs/cli/src/verbenamill_cli/status_command.py
+++ b/libs/cli/src/verbenamill_cli/status_command.py
@@ -49,8 +49,8 @@
         history, log_state = _read_log_if_any(context, log, timeout)
         daemons = trio.run(_query_fleet, environment, url)
         return daemons.map(
-            lambda found: format_status(
-                found,
+            lambda surveyed: format_status(
+                surveyed,
                 history,
                 log_state,
                 show_all=show_all,
--- a/libs/cli/src/verbenamill_cli/ticket_commands.py
+++ b/libs/cli/src/verbenamill_cli/ticket_commands.py
@@ -53,7 +53,7 @@
         async def read(reader: RetryingLog) -> ReportResult:
             history = await read_history(reader)
             return history.bind(
-                lambda known: validate(known, ticket, now=now),
+                lambda folded: validate(folded, ticket, now=now),
             )
 
         return run_with_log(context, log, timeout, read)
@@ -98,7 +98,7 @@
     async def read(reader: RetryingLog) -> ReportResult:
         history = await read_history(reader, from_oldest=True)
         return history.bind(
-            lambda known: report_ticket(known, TicketNumber(number)),
+            lambda folded: report_ticket(folded, TicketNumber(number)),
         )
 
     print_and_exit(run_with_log(context, log, timeout, read), as_json=as_json)
@@ -117,7 +117,7 @@
     def compare(ticket: Ticket) -> ReportResult:
         async def read(reader: RetryingLog) -> ReportResult:
             history = await read_history(reader)
-            return history.map(lambda known: _report_diff(known, ticket))
+            return history.map(lambda folded: _report_diff(folded, ticket))
 
         return run_with_log(context, log, timeout, read)
 
