--- a/libs/mesh/src/verbenamill_mesh/__init__.py
+++ b/libs/mesh/src/verbenamill_mesh/__init__.py
@@ -1,6 +1,6 @@
 """Membership, dissemination and configuration between daemons."""
 
-from verbenamill_mesh.configuration import Configuration, Head
+from verbenamill_mesh.configuration import Configuration, ConfigurationHead
 from verbenamill_mesh.mesh import Mesh
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
@@ -8,7 +8,7 @@
 
 __all__ = (
     'Configuration',
-    'Head',
+    'ConfigurationHead',
     'Link',
     'Mesh',
     'MeshSettings',
--- a/libs/mesh/src/verbenamill_mesh/broadcast.py
+++ b/libs/mesh/src/verbenamill_mesh/broadcast.py
@@ -10,22 +10,22 @@
 import trio
 from msgspec.structs import replace
 
-from verbenamill_mesh.budget import Budget
-from verbenamill_mesh.messages import News, Push
+from verbenamill_mesh.messages import Push, ValuesReply
 from verbenamill_mesh.peers import Peers
-from verbenamill_mesh.ring import WHOLE, Branch, position_of, split
+from verbenamill_mesh.ring import WHOLE_RING, Branch, position_of, split
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.store import Update
+from verbenamill_mesh.token_bucket import TokenBucket
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, VmId
 from verbenamill_runtime import Clock
 
 #: Delegates tried before a branch is left to the digests.
-MAX_TRIES = 4
+MAX_DELEGATES_TRIED = 4
 #: Neighbours that are told of news which did not come by the tree.
-RUMOUR_COUNT = 2
+RUMOUR_FANOUT = 2
 #: Bytes of records in one push; peers fetch what is longer.
-MAX_PUSH = 128 * 1024
+MAX_PUSH_BYTES = 128 * 1024
 
 
 class Broadcaster:
@@ -45,8 +45,8 @@
         self._peers = peers
         self._settings = settings
         self._on_newer = on_newer
-        self._budget = Budget(settings.rumours_per_second, clock)
-        self._waiting: list[Push] = []
+        self._rumour_bucket = TokenBucket(settings.rumours_per_second, clock)
+        self._queued: list[Push] = []
         self._has_work = trio.Event()
         self._position = position_of(peers.own_member.id)
 
@@ -56,61 +56,61 @@
             while True:
                 await self._has_work.wait()
                 self._has_work = trio.Event()
-                waiting = self._waiting
-                self._waiting = []
-                for push in waiting:
+                queued = self._queued
+                self._queued = []
+                for push in queued:
                     nursery.start_soon(self._send, push)
 
     async def deliver(self, push: Push) -> None:
         """Send a push to everyone on its arc and wait for their answers."""
         async with trio.open_nursery() as nursery:
             for arc in push.arc.without(self._position):
-                mates = self._peers.mates()
-                for branch in split(arc, mates, self._settings.arity):
+                zone_peers = self._peers.zone_peers()
+                for branch in split(arc, zone_peers, self._settings.arity):
                     nursery.start_soon(self._send_branch, branch, push)
 
     def forward(self, push: Push) -> None:
         """Pass on to the rest of the arc that was given to this daemon."""
-        self._budget.take()
+        self._rumour_bucket.try_take()
         self._enqueue(push)
 
-    def tell_all(self, updates: tuple[Update, ...]) -> None:
+    def broadcast(self, updates: tuple[Update, ...]) -> None:
         """Tell everyone, in this availability zone and the others."""
-        self._enqueue(Push(updates=updates, arc=WHOLE))
+        self._enqueue(Push(updates=updates, arc=WHOLE_RING))
 
-    def tell_calmly(self, updates: tuple[Update, ...]) -> None:
+    def broadcast_within_budget(self, updates: tuple[Update, ...]) -> None:
         """Tell everyone if there is little other news.
 
         When half an availability zone dies or returns, each of many daemons
         would tell all the others; the digests carry it then, together.
         """
-        if self._budget.take():
-            self.tell_all(updates)
+        if self._rumour_bucket.try_take():
+            self.broadcast(updates)
 
-    async def deliver_everywhere(self, updates: tuple[Update, ...]) -> None:
+    async def deliver_to_all_zones(self, updates: tuple[Update, ...]) -> None:
         """Tell everyone and wait for the answers of those told first."""
-        push = Push(updates=updates, arc=WHOLE)
+        push = Push(updates=updates, arc=WHOLE_RING)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.deliver, push)
-            nursery.start_soon(self._cross, push)
+            nursery.start_soon(self._send_to_other_zones, push)
 
-    def tell_zone(self, entries: tuple[Entry, ...]) -> None:
+    def push_to_zone(self, entries: tuple[Entry, ...]) -> None:
         """Tell the availability zone of records of the log."""
-        for group in _group(entries):
-            self._enqueue(Push(entries=group, arc=WHOLE))
+        for group in _group_by_size(entries):
+            self._enqueue(Push(entries=group, arc=WHOLE_RING))
 
-    def tell_some(self, updates: tuple[Update, ...]) -> None:
+    def gossip(self, updates: tuple[Update, ...]) -> None:
         """Tell a few neighbours of news that did not come by the tree.
 
         Each tells a few more to whom it is news, so it is almost everywhere
         in a few steps. In a herd there is more news than the budget allows;
         the digests then carry it together, at a cost that stays flat.
         """
-        if updates and self._budget.take():
+        if updates and self._rumour_bucket.try_take():
             self._enqueue(Push(updates=updates))
 
     def _enqueue(self, push: Push) -> None:
-        self._waiting.append(push)
+        self._queued.append(push)
         self._has_work.set()
 
     async def _send(self, push: Push) -> None:
@@ -119,21 +119,27 @@
             return
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.deliver, push)
-            if push.updates and not push.crossed and self._peers.is_primary:
+            if (
+                push.updates
+                and not push.is_cross_zone
+                and self._peers.is_primary
+            ):
                 # Any push with an arc passes through the whole zone once,
                 # so exactly its first reader sends it across.
-                nursery.start_soon(self._cross, push)
+                nursery.start_soon(self._send_to_other_zones, push)
 
     async def _send_rumour(self, push: Push) -> None:
         async with trio.open_nursery() as nursery:
-            for member in self._peers.choose_neighbours(RUMOUR_COUNT):
+            for member in self._peers.choose_neighbours(RUMOUR_FANOUT):
                 nursery.start_soon(self._send_to, member, push)
 
-    async def _cross(self, push: Push) -> None:
-        crossing = replace(push, arc=WHOLE, crossed=True, entries=())
+    async def _send_to_other_zones(self, push: Push) -> None:
+        cross_zone_push = replace(
+            push, arc=WHOLE_RING, is_cross_zone=True, entries=()
+        )
         async with trio.open_nursery() as nursery:
             for zone in self._peers.other_zones():
-                nursery.start_soon(self._send_zone, zone, crossing)
+                nursery.start_soon(self._send_zone, zone, cross_zone_push)
 
     async def _send_zone(self, zone: AvailabilityZone, push: Push) -> None:
         for gateway in self._peers.gateways(zone):
@@ -141,26 +147,26 @@
                 return
 
     async def _send_branch(self, branch: Branch, push: Push) -> None:
-        part = replace(push, arc=branch.arc)
-        for delegate in branch.delegates[:MAX_TRIES]:
-            if await self._send_to(delegate, part):
+        branch_push = replace(push, arc=branch.arc)
+        for delegate in branch.delegates[:MAX_DELEGATES_TRIED]:
+            if await self._send_to(delegate, branch_push):
                 return
 
     async def _send_to(self, member: VmId, push: Push) -> bool:
-        reply = await self._peers.ask(member, push)
-        news = reply.value_or(None)
-        if isinstance(news, News):
-            self._on_newer(news.updates)
+        reply = await self._peers.send_request(member, push)
+        values = reply.value_or(None)
+        if isinstance(values, ValuesReply):
+            self._on_newer(values.updates)
             return True
         return False
 
 
-def _group(entries: tuple[Entry, ...]) -> list[tuple[Entry, ...]]:
+def _group_by_size(entries: tuple[Entry, ...]) -> list[tuple[Entry, ...]]:
     groups: list[tuple[Entry, ...]] = []
-    size = MAX_PUSH
+    size = MAX_PUSH_BYTES
     for entry in entries:
         size += len(entry.body)
-        if size > MAX_PUSH:
+        if size > MAX_PUSH_BYTES:
             groups.append(())
             size = len(entry.body)
         groups[-1] = (*groups[-1], entry)
--- a/libs/mesh/src/verbenamill_mesh/checkpoints.py
+++ b/libs/mesh/src/verbenamill_mesh/checkpoints.py
@@ -19,19 +19,19 @@
 from verbenamill_mesh.newest_records import read_newest_records
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import CHECKPOINTS_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Clock, Log
+from verbenamill_runtime.streams import CHECKPOINTS_STREAM
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
 #: Newest records looked at; late ones of paused writers may be among them.
-LOOK_BACK = 4
+NEWEST_RECORDS = 4
 #: Looks per checkpoint interval at whether one is due.
-LOOKS = 6
+CHECKS_PER_INTERVAL = 6
 #: New records for which one is written before the interval is over.
-MIN_RECORDS = 16
+MIN_NEW_RECORDS = 16
 
 
 class CheckpointRecord(Struct, frozen=True, array_like=True):
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class _Written(Struct, frozen=True):
+class _KnownCheckpoint(Struct, frozen=True):
     offset: Offset
     at: datetime
 
@@ -61,7 +61,7 @@
         *,
         platform_log: Log,
         configuration: Configuration,
-        find_turn: Callable[[], int | None],
+        get_writer_rank: Callable[[], int | None],
         settings: MeshSettings,
         clock: Clock,
         random: Random,
@@ -69,21 +69,24 @@
     ) -> None:
         self._log = platform_log
         self._configuration = configuration
-        self._find_turn = find_turn
+        self._get_writer_rank = get_writer_rank
         self._settings = settings
         self._clock = clock
         self._random = random
         self._stats = stats
-        self._newest: _Written | None = None
+        self._newest: _KnownCheckpoint | None = None
         self._oldest_record = Offset(0)
 
-    def note_oldest(self, oldest: Offset) -> None:
+    def set_oldest_record(self, oldest: Offset) -> None:
         """Take note of the first offset that the log still has."""
         self._oldest_record = oldest
 
     async def run(self) -> None:
         """Write checkpoints until cancelled."""
-        pause = self._settings.checkpoint_interval.total_seconds() / LOOKS
+        pause = (
+            self._settings.checkpoint_interval.total_seconds()
+            / CHECKS_PER_INTERVAL
+        )
         while True:
             await trio.sleep(pause * self._random.uniform(0.5, 1.5))
             if self._is_due():
@@ -124,26 +127,28 @@
         )
         match outcome:
             case Success(_):
-                self._newest = _Written(record.offset, self._clock.now())
+                self._newest = _KnownCheckpoint(
+                    record.offset, self._clock.now()
+                )
                 log(Event.CHECKPOINT_WRITTEN, offset=record.offset)
             case Failure(error):
                 log(Event.LOG_UNAVAILABLE, detail=error.detail)
 
     def _is_due(self) -> bool:
-        turn = self._find_turn()
+        writer_rank = self._get_writer_rank()
         offset = self._configuration.state.offset
-        if turn is None or offset < 0:
+        if writer_rank is None or offset < 0:
             return False
         if self._newest is None:
             return True
-        patience = 1 + turn / 4
+        delay_factor = 1 + writer_rank / 4
         age = self._clock.now() - self._newest.at
-        if age > patience * self._settings.checkpoint_interval:
+        if age > delay_factor * self._settings.checkpoint_interval:
             # Also when nothing changed: checkpoints expire as well.
             return True
-        return self._is_expiring(offset, patience)
+        return self._is_expiring(offset, delay_factor)
 
-    def _is_expiring(self, offset: Offset, patience: float) -> bool:
+    def _is_expiring(self, offset: Offset, delay_factor: float) -> bool:
         """Whether the records after the newest checkpoint expire soon.
 
         Half of what the log keeps is left then, whatever its retention is.
@@ -152,7 +157,7 @@
         new_records = offset - self._newest.offset
         middle = (self._oldest_record + offset) / 2
         return (
-            new_records >= patience * MIN_RECORDS
+            new_records >= delay_factor * MIN_NEW_RECORDS
             and self._newest.offset < middle
         )
 
@@ -160,7 +165,7 @@
         """Read the newest checkpoints, the best one last."""
         self._stats.count_log_request(CHECKPOINTS_STREAM)
         outcome = await read_newest_records(
-            self._log, CHECKPOINTS_STREAM, LOOK_BACK
+            self._log, CHECKPOINTS_STREAM, NEWEST_RECORDS
         )
         if isinstance(outcome, Failure):
             return []
@@ -169,8 +174,8 @@
         readable = [(record, at) for record, at in read if record is not None]
         readable.sort(key=_offset_of)
         if readable:
-            best, written_at = readable[-1]
-            self._newest = _Written(best.offset, written_at)
+            newest, written_at = readable[-1]
+            self._newest = _KnownCheckpoint(newest.offset, written_at)
         return [record for record, _ in readable]
 
 
--- a/libs/mesh/src/verbenamill_mesh/configuration.py
+++ b/libs/mesh/src/verbenamill_mesh/configuration.py
@@ -21,14 +21,14 @@
 from verbenamill_model.typing import Offset
 
 #: Records kept for peers that lag a little; others get a checkpoint.
-MAX_KEPT = 1024
+MAX_KEPT_RECORDS = 1024
 #: Bytes of records kept, since one record may take 256 KB.
 MAX_KEPT_BYTES = 4 * 1024 * 1024
 #: Longest checkpoint after decompression.
-MAX_STATE_BYTES = 64 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 
 
-class Head(Struct, frozen=True, kw_only=True):
+class ConfigurationHead(Struct, frozen=True, kw_only=True):
     """Where a configuration stands.
 
     :param digest: of the state at that offset; equal everywhere.
@@ -44,9 +44,9 @@
     :param kept: records kept for peers that lag.
     """
 
-    def __init__(self, *, kept: int = MAX_KEPT) -> None:
+    def __init__(self, *, max_kept_records: int = MAX_KEPT_RECORDS) -> None:
         self._state = State()
-        self._kept = kept
+        self._max_kept_records = max_kept_records
         self._entries: deque[Entry] = deque()
         self._entry_bytes = 0
         self._changed = trio.Event()
@@ -61,11 +61,13 @@
         """What the proxy runs."""
         return self._state.snapshot
 
-    def head(self) -> Head:
+    def head(self) -> ConfigurationHead:
         """Offset and digest, by which two daemons compare their states."""
-        return Head(offset=self._state.offset, digest=self._state.digest)
+        return ConfigurationHead(
+            offset=self._state.offset, digest=self._state.digest
+        )
 
-    def take(self, entries: tuple[Entry, ...]) -> bool:
+    def apply_records(self, entries: tuple[Entry, ...]) -> bool:
         """Fold the records that follow the state; known ones are passed.
 
         :returns: ``False`` when a record is missing before one of them;
@@ -73,11 +75,13 @@
         """
         following = self._find_following(entries)
         if following:
-            self._swap(fold(self._state, following).unwrap())
-            self._keep(following)
+            self._replace_state(fold(self._state, following).unwrap())
+            self._retain(following)
         return all(entry.offset <= self._state.offset for entry in entries)
 
-    def tail(self, after: Offset, limit: int) -> tuple[Entry, ...] | None:
+    def records_after(
+        self, after: Offset, limit: int
+    ) -> tuple[Entry, ...] | None:
         """Records that follow an offset, or ``None`` when it is too old."""
         if after >= self._state.offset:
             return ()
@@ -98,7 +102,7 @@
 
         :returns: the state in force, or why the checkpoint is of no use.
         """
-        return _decompress(body).bind(decode_state).bind(self._adopt)
+        return _decompress(body).bind(decode_state).bind(self._restore_if_newer)
 
     async def wait_beyond(self, offset: Offset) -> None:
         """Wait until the state is beyond an offset."""
@@ -117,7 +121,7 @@
                 wanted += 1
         return tuple(following)
 
-    def _adopt(self, state: State) -> Result[State, str]:
+    def _restore_if_newer(self, state: State) -> Result[State, str]:
         if state.offset <= self._state.offset:
             return Success(self._state)
         if state.snapshot.version < self._state.snapshot.version:
@@ -130,12 +134,12 @@
         for route in state.snapshot.routes.values():
             if route.service not in services:
                 return Failure(f'route {route.name} of the checkpoint dangles')
-        self._swap(state)
+        self._replace_state(state)
         self._entries.clear()
         self._entry_bytes = 0
         return Success(state)
 
-    def _swap(self, state: State) -> None:
+    def _replace_state(self, state: State) -> None:
         # The last guard before a proxy would run an older version, whatever
         # let it come this far: callers would see a finished move undone.
         assert state.offset > self._state.offset, 'a state never goes back'
@@ -148,12 +152,12 @@
         self._changed = trio.Event()
         changed.set()
 
-    def _keep(self, entries: tuple[Entry, ...]) -> None:
+    def _retain(self, entries: tuple[Entry, ...]) -> None:
         for entry in entries:
             self._entries.append(entry)
             self._entry_bytes += len(entry.body)
         while self._entries and (
-            len(self._entries) > self._kept
+            len(self._entries) > self._max_kept_records
             or self._entry_bytes > MAX_KEPT_BYTES
         ):
             self._entry_bytes -= len(self._entries.popleft().body)
@@ -164,11 +168,11 @@
 
 
 def _decompress(body: bytes) -> Result[bytes, str]:
-    inflater = decompressobj()
+    decompressor = decompressobj()
     try:
-        plain = inflater.decompress(body, MAX_STATE_BYTES)
+        plain = decompressor.decompress(body, MAX_DECOMPRESSED_BYTES)
     except ZlibError as error:
         return Failure(f'checkpoint cannot be decompressed: {error}')
-    if not inflater.eof:
+    if not decompressor.eof:
         return Failure('checkpoint is cut short or too long')
     return Success(plain)
--- a/libs/mesh/src/verbenamill_mesh/probing.py
+++ b/libs/mesh/src/verbenamill_mesh/failure_detector.py
@@ -12,9 +12,9 @@
 import trio
 from returns.result import Success
 
-from verbenamill_mesh.exchange import Meet
 from verbenamill_mesh.members import Members, MemberStatus
-from verbenamill_mesh.messages import ProbeFor, Reached
+from verbenamill_mesh.messages import IndirectProbe, IndirectProbeReply
+from verbenamill_mesh.peer_sync import ProbePeer
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.store import Update
@@ -24,19 +24,19 @@
 from verbenamill_telemetry.logs import log
 
 #: Others that are asked to probe a neighbour that does not answer.
-HELPERS = 3
+INDIRECT_PROBES = 3
 #: Probes between two tries to reach someone thought dead, or a seed.
-HEALING_EVERY = 5
+RECONNECT_PERIODS = 5
 #: A loop that comes this many periods late was paused itself.
 PAUSED_PERIODS = 3
 #: Own misses in a row beyond which suspicion grows no further.
-MAX_MISSES = 4
+MAX_MISSED_PROBES = 4
 
 #: Looks up addresses of other daemons.
 FindAddresses = Callable[[], Awaitable[tuple[str, ...]]]
 
 
-class Prober:
+class FailureDetector:
     """Probes of this daemon.
 
     :param seeds: addresses known from the settings; only hints.
@@ -50,9 +50,9 @@
         members: Members,
         peers: Peers,
         seeds: tuple[str, ...],
-        meet: Meet,
+        probe_peer: ProbePeer,
         find_addresses: FindAddresses,
-        spread: Callable[[Update], None],
+        on_status_change: Callable[[Update], None],
         settings: MeshSettings,
         clock: Clock,
         random: Random,
@@ -60,74 +60,80 @@
         self._members = members
         self._peers = peers
         self._seeds = seeds
-        self._meet = meet
+        self._probe_peer = probe_peer
         self._find_addresses = find_addresses
-        self._spread = spread
+        self._on_status_change = on_status_change
         self._settings = settings
         self._clock = clock
         self._random = random
-        self._turns: list[VmId] = []
-        self._suspects: dict[VmId, timedelta] = {}
-        self._buried: dict[VmId, timedelta] = {}
-        self._misses = 0
+        self._probe_queue: list[VmId] = []
+        self._suspected_since: dict[VmId, timedelta] = {}
+        self._tombstone_since: dict[VmId, timedelta] = {}
+        self._missed_probes = 0
 
     async def run(self) -> None:
         """Probe until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._contact_others)
-            nursery.start_soon(self._cross_zones)
-            nursery.start_soon(self._judge)
+            nursery.start_soon(self._reconnect)
+            nursery.start_soon(self._probe_other_zones)
+            nursery.start_soon(self._run_expiry)
             await self._probe_in_turn(nursery)
 
     async def _probe_in_turn(self, nursery: trio.Nursery) -> None:
         while True:
-            await self._pause()
+            await self._wait_period()
             target = self._next_target()
             if target is not None:
-                nursery.start_soon(self._probe, target)
+                nursery.start_soon(self._check_member, target)
 
-    async def _pause(self) -> None:
+    async def _wait_period(self) -> None:
         period = self._settings.probe_period.total_seconds()
         await trio.sleep(period * self._random.uniform(0.8, 1.2))
 
     def _next_target(self) -> VmId | None:
-        mates = self._members.in_zone(self._peers.own_member.availability_zone)
-        self._turns = [turn for turn in self._turns if turn in mates]
-        if not self._turns:
-            self._turns = list(self._peers.neighbours())
-            self._random.shuffle(self._turns)
-        return self._turns.pop() if self._turns else None
-
-    async def _probe(self, target: VmId) -> None:
-        if await self._meet_member(target):
-            self._misses = 0
+        zone_members = self._members.in_zone(
+            self._peers.own_member.availability_zone
+        )
+        self._probe_queue = [
+            queued for queued in self._probe_queue if queued in zone_members
+        ]
+        if not self._probe_queue:
+            self._probe_queue = list(self._peers.neighbours())
+            self._random.shuffle(self._probe_queue)
+        return self._probe_queue.pop() if self._probe_queue else None
+
+    async def _check_member(self, target: VmId) -> None:
+        if await self._probe_member(target):
+            self._missed_probes = 0
             return
-        self._misses = min(self._misses + 1, MAX_MISSES)
-        if not await self._probe_by_others(target):
+        self._missed_probes = min(self._missed_probes + 1, MAX_MISSED_PROBES)
+        if not await self._probe_indirectly(target):
             self._suspect(target)
 
-    async def _meet_member(self, target: VmId) -> bool:
+    async def _probe_member(self, target: VmId) -> bool:
         record = self._members.record(target)
         if record is None:
             return False
-        return isinstance(await self._meet(record.member.control), Success)
+        return isinstance(
+            await self._probe_peer(record.member.control), Success
+        )
 
-    async def _probe_by_others(self, target: VmId) -> bool:
+    async def _probe_indirectly(self, target: VmId) -> bool:
         """Ask others, since only the link from here may be broken."""
         record = self._members.record(target)
         if record is None:
             return True
-        helpers = self._peers.choose_neighbours(HELPERS + 1)
-        request = ProbeFor(record.member.control)
+        helpers = self._peers.choose_neighbours(INDIRECT_PROBES + 1)
+        request = IndirectProbe(record.member.control)
         answers: list[bool] = []
 
         async def ask_one(helper: VmId) -> None:  # noqa: WPS430 - one nursery
-            reply = await self._peers.ask(
+            reply = await self._peers.send_request(
                 helper,
                 request,
                 timeout=3 * self._settings.request_timeout,
             )
-            answers.append(reply == Success(Reached(reached=True)))
+            answers.append(reply == Success(IndirectProbeReply(reached=True)))
 
         async with trio.open_nursery() as nursery:
             for helper in helpers:
@@ -136,83 +142,85 @@
         return any(answers)
 
     def _suspect(self, target: VmId) -> None:
-        update = self._members.judge(target, MemberStatus.SUSPECT)
-        self._suspects.setdefault(target, self._clock.monotonic())
+        update = self._members.declare_status(target, MemberStatus.SUSPECT)
+        self._suspected_since.setdefault(target, self._clock.monotonic())
         if update is not None:
             log(Event.MEMBER_SUSPECTED, member=target)
-            self._spread(update)
+            self._on_status_change(update)
 
-    async def _judge(self) -> None:
+    async def _run_expiry(self) -> None:
         """Declare suspects dead and forget those long dead."""
         last = self._clock.monotonic()
         while True:
-            await self._pause()
+            await self._wait_period()
             now = self._clock.monotonic()
             if now - last > PAUSED_PERIODS * self._settings.probe_period:
                 # This process was paused: suspects had no chance to refute
                 # to it, and their time would seem to be over.
-                self._suspects = dict.fromkeys(self._suspects, now)
+                self._suspected_since = dict.fromkeys(
+                    self._suspected_since, now
+                )
             last = now
-            self._bury(now)
-            self._forget(now)
+            self._expire_suspects(now)
+            self._expire_tombstones(now)
 
-    def _bury(self, now: timedelta) -> None:
+    def _expire_suspects(self, now: timedelta) -> None:
         # A daemon whose own probes fail may be the broken one; it gives
         # others more time to refute it.
-        patience = self._settings.suspicion * (1 + self._misses)
-        for member, since in tuple(self._suspects.items()):
+        allowed = self._settings.suspicion_timeout * (1 + self._missed_probes)
+        for member, since in tuple(self._suspected_since.items()):
             record = self._members.record(member)
             if record is None or record.status is not MemberStatus.SUSPECT:
-                self._suspects.pop(member)
-            elif now - since > patience:
-                self._suspects.pop(member)
+                self._suspected_since.pop(member)
+            elif now - since > allowed:
+                self._suspected_since.pop(member)
                 self._declare_dead(member)
 
     def _declare_dead(self, member: VmId) -> None:
-        update = self._members.judge(member, MemberStatus.DEAD)
+        update = self._members.declare_status(member, MemberStatus.DEAD)
         if update is not None:
             log(Event.MEMBER_GONE, member=member)
-            self._spread(update)
+            self._on_status_change(update)
 
-    def _forget(self, now: timedelta) -> None:
+    def _expire_tombstones(self, now: timedelta) -> None:
         for record in self._members.tombstones():
             member = record.member.id
-            since = self._buried.setdefault(member, now)
-            if now - since > self._settings.tombstone_life:
+            since = self._tombstone_since.setdefault(member, now)
+            if now - since > self._settings.tombstone_lifetime:
                 self._members.forget(member)
-        self._buried = {
+        self._tombstone_since = {
             member: since
-            for member, since in self._buried.items()
+            for member, since in self._tombstone_since.items()
             if self._members.is_tombstone(member)
         }
 
-    async def _cross_zones(self) -> None:
+    async def _probe_other_zones(self) -> None:
         """As a gateway, meet those of other availability zones in turn."""
         while True:
-            await self._pause()
+            await self._wait_period()
             if not self._peers.is_reader:
                 continue
             zones = self._peers.other_zones()
             if zones:
                 zone = self._random.choice(zones)
                 gateways = self._peers.gateways(zone)
-                await self._meet_member(self._random.choice(gateways))
+                await self._probe_member(self._random.choice(gateways))
 
-    async def _contact_others(self) -> None:
+    async def _reconnect(self) -> None:
         """Find the first peer, and those on the far side of a partition."""
         await trio.sleep(
             self._settings.probe_period.total_seconds() * self._random.random(),
         )
         while True:
-            await self._contact_first()
+            await self._find_first_peer()
             await trio.sleep(
-                HEALING_EVERY
+                RECONNECT_PERIODS
                 * self._settings.probe_period.total_seconds()
                 * self._random.uniform(0.5, 1.5),
             )
-            await self._contact(self._hints())
+            await self._try_random_address(self._list_candidates())
 
-    async def _contact_first(self) -> None:
+    async def _find_first_peer(self) -> None:
         """Find any peer while there is none."""
         started = self._clock.monotonic()
         waits = full_jitter(
@@ -220,27 +228,31 @@
             first=self._settings.probe_period,
             longest=10 * self._settings.probe_period,
         )
-        hints = self._hints()
+        addresses = self._list_candidates()
         while len(self._members.alive()) <= 1:
-            if await self._contact(hints):
+            if await self._try_random_address(addresses):
                 return
-            hints = self._hints()
-            if self._clock.monotonic() - started > self._settings.lonely_after:
-                hints = (*hints, *await self._find_addresses())
+            addresses = self._list_candidates()
+            if (
+                self._clock.monotonic() - started
+                > self._settings.isolation_timeout
+            ):
+                addresses = (*addresses, *await self._find_addresses())
             await trio.sleep(next(waits).total_seconds())
 
-    def _hints(self) -> tuple[str, ...]:
+    def _list_candidates(self) -> tuple[str, ...]:
         known = {member.control for member in self._members.alive().values()}
         dead = (record.member.control for record in self._members.tombstones())
-        hints = dict.fromkeys((*self._seeds, *dead))
+        addresses = dict.fromkeys((*self._seeds, *dead))
         return tuple(
-            hint
-            for hint in hints
-            if hint not in known and hint != self._peers.own_member.control
+            address
+            for address in addresses
+            if address not in known
+            and address != self._peers.own_member.control
         )
 
-    async def _contact(self, hints: tuple[str, ...]) -> bool:
-        if not hints:
+    async def _try_random_address(self, addresses: tuple[str, ...]) -> bool:
+        if not addresses:
             return False
-        hint = self._random.choice(hints)
-        return isinstance(await self._meet(hint), Success)
+        address = self._random.choice(addresses)
+        return isinstance(await self._probe_peer(address), Success)
--- a/libs/mesh/src/verbenamill_mesh/links.py
+++ b/libs/mesh/src/verbenamill_mesh/links.py
@@ -22,10 +22,10 @@
 from verbenamill_telemetry.logs import log
 
 #: Requests that wait for one peer; more are given up.
-MAX_WAITING = 64
+MAX_QUEUED_REQUESTS = 64
 
 
-class _Job:
+class _PendingRequest:
     """One request that waits for its answer."""
 
     def __init__(self, kind: str, body: bytes, timeout: timedelta) -> None:
@@ -46,7 +46,7 @@
     def __init__(
         self,
         *,
-        own: VmId,
+        own_id: VmId,
         availability_zone: AvailabilityZone,
         transport: Transport,
         settings: MeshSettings,
@@ -54,12 +54,12 @@
         is_cut: Callable[[str], bool],
     ) -> None:
         self._is_cut = is_cut
-        self._own = own
+        self._own_id = own_id
         self._availability_zone = availability_zone
         self._transport = transport
         self._settings = settings
         self._stats = stats
-        self._queues: dict[str, trio.MemorySendChannel[_Job]] = {}
+        self._queues: dict[str, trio.MemorySendChannel[_PendingRequest]] = {}
         self._nursery: trio.Nursery | None = None
 
     async def run(
@@ -76,7 +76,7 @@
             finally:
                 self._nursery = None
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         request: Request,
@@ -89,8 +89,8 @@
         :returns: the answer, or why there is none; the peer may have
             handled the request all the same.
         """
-        envelope = Envelope(self._own, self._availability_zone, request)
-        job = _Job(
+        envelope = Envelope(self._own_id, self._availability_zone, request)
+        pending = _PendingRequest(
             kind_of(request),
             encode(envelope),
             timeout or self._settings.request_timeout,
@@ -98,65 +98,67 @@
         if self._nursery is None:
             return Failure('this daemon does not run')
         try:
-            self._queue_of(address, self._nursery).send_nowait(job)
+            self._queue_of(address, self._nursery).send_nowait(pending)
         except (trio.WouldBlock, trio.BrokenResourceError):
             self._stats.requests_dropped += 1
             return Failure('too many requests wait for this peer')
-        await job.done.wait()
-        return job.reply
+        await pending.done.wait()
+        return pending.reply
 
     def _queue_of(
         self,
         address: str,
         nursery: trio.Nursery,
-    ) -> trio.MemorySendChannel[_Job]:
+    ) -> trio.MemorySendChannel[_PendingRequest]:
         queue = self._queues.get(address)
         if queue is None:
-            queue, jobs = trio.open_memory_channel[_Job](MAX_WAITING)
+            queue, requests = trio.open_memory_channel[_PendingRequest](
+                MAX_QUEUED_REQUESTS
+            )
             self._queues[address] = queue
-            nursery.start_soon(self._serve, address, jobs)
+            nursery.start_soon(self._serve, address, requests)
         return queue
 
     async def _serve(
         self,
         address: str,
-        jobs: trio.MemoryReceiveChannel[_Job],
+        requests: trio.MemoryReceiveChannel[_PendingRequest],
     ) -> None:
         link: Link | None = None
         self._stats.links += 1
         try:
-            async for job in self._until_idle(jobs):
-                link = await self._handle(address, link, job)
-                job.done.set()
+            async for pending in self._receive_until_idle(requests):
+                link = await self._handle(address, link, pending)
+                pending.done.set()
         finally:
-            self._end(address, link)
+            self._close_link(address, link)
 
-    def _end(self, address: str, link: Link | None) -> None:
+    def _close_link(self, address: str, link: Link | None) -> None:
         self._stats.links -= 1
         self._queues.pop(address).close()
         if link is not None:
             link.close()
 
-    async def _until_idle(
+    async def _receive_until_idle(
         self,
-        jobs: trio.MemoryReceiveChannel[_Job],
-    ) -> AsyncIterator[_Job]:
+        requests: trio.MemoryReceiveChannel[_PendingRequest],
+    ) -> AsyncIterator[_PendingRequest]:
         """Jobs in order, until none has come for long."""
-        idle = self._settings.idle_link.total_seconds()
+        idle = self._settings.link_idle_timeout.total_seconds()
         while True:
-            job: _Job | None = None
+            pending: _PendingRequest | None = None
             with trio.move_on_after(idle):
-                job = await jobs.receive()
-            job = job or _take_waiting(jobs)
-            if job is None:
+                pending = await requests.receive()
+            pending = pending or _receive_queued(requests)
+            if pending is None:
                 return
-            yield job
+            yield pending
 
     async def _handle(
         self,
         address: str,
         link: Link | None,
-        job: _Job,
+        pending: _PendingRequest,
     ) -> Link | None:
         """Send one request, on a new link when the old one is silent.
 
@@ -166,39 +168,43 @@
         new one before the peer is called unreachable.
         """
         worked_before = link is not None
-        is_lost = False
+        is_silent = False
         for _ in range(2 if worked_before else 1):
-            if trio.current_time() >= job.expires:
+            if trio.current_time() >= pending.expires:
                 return link
             link = link or self._transport.dial(address)
-            job.reply = await self._try(address, link, job)
-            if isinstance(job.reply, Success):
-                if is_lost:
+            pending.reply = await self._send_once(address, link, pending)
+            if isinstance(pending.reply, Success):
+                if is_silent:
                     log(Event.PEER_RECOVERED, peer=address)
                 return link
             link.close()
             link = None
             self._stats.links_replaced += 1
-            if worked_before and not is_lost:
-                is_lost = True
-                log(Event.PEER_LOST, peer=address, reason=job.reply.failure())
+            if worked_before and not is_silent:
+                is_silent = True
+                log(
+                    Event.PEER_LOST,
+                    peer=address,
+                    reason=pending.reply.failure(),
+                )
         return None
 
-    async def _try(
+    async def _send_once(
         self,
         address: str,
         link: Link,
-        job: _Job,
+        pending: _PendingRequest,
     ) -> Result[Reply, str]:
-        self._stats.count_sent(job.kind, len(job.body))
+        self._stats.count_sent(pending.kind, len(pending.body))
         outcome: Result[bytes, str] = Failure('no answer in time')
-        with trio.move_on_after(job.timeout):
+        with trio.move_on_after(pending.timeout):
             if self._is_cut(address):
                 await trio.sleep_forever()
-            outcome = await link.request(job.body)
-        return outcome.bind(self._read)
+            outcome = await link.request(pending.body)
+        return outcome.bind(self._decode_answer)
 
-    def _read(self, body: bytes) -> Result[Reply, str]:
+    def _decode_answer(self, body: bytes) -> Result[Reply, str]:
         reply = decode_reply(body)
         if reply is None:
             return Failure('the answer cannot be read')
@@ -206,13 +212,15 @@
         return Success(reply)
 
 
-def _take_waiting(jobs: trio.MemoryReceiveChannel[_Job]) -> _Job | None:
+def _receive_queued(
+    requests: trio.MemoryReceiveChannel[_PendingRequest],
+) -> _PendingRequest | None:
     """Take a job that was queued while the wait for one was given up.
 
     Between the deadline and this task's turn others may run. What they
     queued then would never be done, and who asked would wait for ever.
     """
     try:
-        return jobs.receive_nowait()
+        return requests.receive_nowait()
     except trio.WouldBlock:
         return None
--- a/libs/mesh/src/verbenamill_mesh/reader.py
+++ b/libs/mesh/src/verbenamill_mesh/log_reader.py
@@ -17,18 +17,18 @@
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
-from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import Log, LogError, LogFault, LogPage, full_jitter
+from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
 #: Bounds of the waits between tries while the log fails.
-FIRST_WAIT = timedelta(milliseconds=200)
-LONGEST_WAIT = timedelta(seconds=5)
+FIRST_RETRY_WAIT = timedelta(milliseconds=200)
+LONGEST_RETRY_WAIT = timedelta(seconds=5)
 #: Wait between looks at whether this daemon is a reader now.
-ROLE_WAIT = timedelta(milliseconds=500)
+ROLE_CHECK_INTERVAL = timedelta(milliseconds=500)
 
 
 class LogReader:
@@ -67,22 +67,22 @@
                     Event.READER_CHOSEN,
                     availability_zone=self._peers.own_member.availability_zone,
                 )
-                await self._read_while_well()
-            await trio.sleep(ROLE_WAIT.total_seconds())
+                await self._read_while_reader()
+            await trio.sleep(ROLE_CHECK_INTERVAL.total_seconds())
 
-    async def _read_while_well(self) -> None:
+    async def _read_while_reader(self) -> None:
         """Read while this daemon is a reader, with waits after failures."""
         waits = full_jitter(
             self._random,
-            first=FIRST_WAIT,
-            longest=LONGEST_WAIT,
+            first=FIRST_RETRY_WAIT,
+            longest=LONGEST_RETRY_WAIT,
         )
         while self._peers.is_reader:
             if await self._read_page():
                 waits = full_jitter(
                     self._random,
-                    first=FIRST_WAIT,
-                    longest=LONGEST_WAIT,
+                    first=FIRST_RETRY_WAIT,
+                    longest=LONGEST_RETRY_WAIT,
                 )
             else:
                 await trio.sleep(next(waits).total_seconds())
@@ -96,43 +96,45 @@
         outcome = await self._log.read(
             CONFIG_STREAM,
             Offset(self._configuration.state.offset + 1),
-            wait=self._settings.long_poll if is_ready else timedelta(0),
+            wait=self._settings.long_poll_wait if is_ready else timedelta(0),
         )
         match outcome:
             case Success(LogPage() as page):
-                return await self._take(page)
+                return await self._apply_page(page)
             case Failure(LogError() as error):
                 return await self._handle_fault(error)
         return False
 
-    def _note_outage(self, error: LogError) -> None:
+    def _log_outage(self, error: LogError) -> None:
         if not self._is_down:
             log(Event.LOG_UNAVAILABLE, detail=error.detail)
         self._is_down = True
 
-    def _note_answer(self) -> None:
+    def _log_recovery(self) -> None:
         if self._is_down:
             log(Event.LOG_RECOVERED)
         self._is_down = False
 
-    async def _take(self, page: LogPage) -> bool:
-        self._note_answer()
-        self._checkpoints.note_oldest(page.oldest)
+    async def _apply_page(self, page: LogPage) -> bool:
+        self._log_recovery()
+        self._checkpoints.set_oldest_record(page.oldest)
         if page.entries and not self._peers.is_primary:
-            await trio.sleep(self._settings.second_delay.total_seconds())
+            await trio.sleep(self._settings.second_reader_delay.total_seconds())
         offset = self._configuration.state.offset
-        news = tuple(entry for entry in page.entries if entry.offset > offset)
-        if not self._configuration.take(news):
+        new_entries = tuple(
+            entry for entry in page.entries if entry.offset > offset
+        )
+        if not self._configuration.apply_records(new_entries):
             # Records vanished, and none may be skipped: a proxy would run
             # a state that no other reader of the log reaches.
             self._stats.gaps += 1
             log(Event.LOG_GAP, offset=offset)
             return False
-        if news:
-            self._on_entries(news)
-        return self._compare_end(page)
+        if new_entries:
+            self._on_entries(new_entries)
+        return self._check_log_end(page)
 
-    def _compare_end(self, page: LogPage) -> bool:
+    def _check_log_end(self, page: LogPage) -> bool:
         offset = self._configuration.state.offset
         if page.end <= offset and not page.entries:
             log(Event.LOG_TRUNCATED, end=page.end, offset=offset)
@@ -143,7 +145,7 @@
 
     async def _handle_fault(self, error: LogError) -> bool:
         if error.fault is not LogFault.EXPIRED:
-            self._note_outage(error)
+            self._log_outage(error)
             return False
         if await self._checkpoints.restore():
             return True
--- a/libs/mesh/src/verbenamill_mesh/members.py
+++ b/libs/mesh/src/verbenamill_mesh/members.py
@@ -14,7 +14,7 @@
 
 MEMBERS_TOPIC = 'members'
 #: Readers of an availability zone: one, and one in its stead.
-READERS = 2
+READERS_PER_ZONE = 2
 
 
 @unique
@@ -57,13 +57,13 @@
     """Keep the record that comes later; ties go by content."""
     if old is None:
         return new
-    held = _decoder.decode(old)
-    told = _decoder.decode(new)
-    later = max((held.precedence, old), (told.precedence, new))
+    current = _decoder.decode(old)
+    received = _decoder.decode(new)
+    later = max((current.precedence, old), (received.precedence, new))
     return later[1]
 
 
-def is_counted(value: bytes) -> bool:
+def is_in_digest(value: bytes) -> bool:
     """Leave tombstones out of the digests, so that they can expire.
 
     They expire at different times on different daemons, and a digest over
@@ -92,11 +92,11 @@
         self._on_refutation_needed = on_refutation_needed
         self._records: dict[VmId, MemberRecord] = {}
         self._tombstones: dict[VmId, MemberRecord] = {}
-        self._zones: dict[AvailabilityZone, dict[VmId, Member]] = {}
+        self._alive_by_zone: dict[AvailabilityZone, dict[VmId, Member]] = {}
         self._alive: dict[VmId, Member] | None = None
-        self._ranked: dict[AvailabilityZone, tuple[VmId, ...]] = {}
-        store.add_topic(MEMBERS_TOPIC, merge_records, is_counted=is_counted)
-        self.say()
+        self._readers_by_zone: dict[AvailabilityZone, tuple[VmId, ...]] = {}
+        store.add_topic(MEMBERS_TOPIC, merge_records, is_in_digest=is_in_digest)
+        self.update_own_record()
 
     @property
     def own_member(self) -> Member:
@@ -108,25 +108,25 @@
         """Whether this daemon has told others that it leaves."""
         return self._has_left
 
-    def say(
+    def update_own_record(
         self,
         *,
         own: Member | None = None,
-        above: int = -1,
-        leaves: bool = False,
+        exceeding: int = -1,
+        leaving: bool = False,
     ) -> Update:
         """State a change of this daemon under a higher incarnation.
 
         :param above: an incarnation that others hold.
         :returns: the update to spread.
         """
-        incarnation = max(self._own.incarnation, above) + 1
+        incarnation = max(self._own.incarnation, exceeding) + 1
         self._own = replace(own or self._own, incarnation=incarnation)
-        self._has_left = self._has_left or leaves
+        self._has_left = self._has_left or leaving
         status = MemberStatus.LEFT if self._has_left else MemberStatus.ALIVE
         record = MemberRecord(incarnation, status, self._own)
         update = _as_update(record)
-        assert self._take(update, record), 'a higher incarnation wins'
+        assert self._apply_record(update, record), 'a higher incarnation wins'
         return update
 
     def merge_update(self, update: Update) -> bool:
@@ -134,43 +134,47 @@
 
         :returns: whether it changed the table.
         """
-        told = _decoder.decode(update.value)
-        member = told.member.id
-        held = self._records.get(member)
-        if held is None and not told.is_alive:
+        received = _decoder.decode(update.value)
+        member = received.member.id
+        current = self._records.get(member)
+        if current is None and not received.is_alive:
             # A tombstone of someone unknown needs no spreading, and taking
             # it would bring expired ones back for ever.
             return False
-        if member == self._own.id and self._is_doubt(update, told):
-            self._on_refutation_needed(told.incarnation)
+        if member == self._own.id and self._contradicts_own_record(
+            update, received
+        ):
+            self._on_refutation_needed(received.incarnation)
             return False
-        return self._take(update, told)
+        return self._apply_record(update, received)
 
     def alive(self) -> dict[VmId, Member]:
         """Members that are alive; not to be altered, replaced on change."""
         if self._alive is None:
             self._alive = {}
-            for found in self._zones.values():
+            for found in self._alive_by_zone.values():
                 self._alive.update(found)
         return self._alive
 
     def in_zone(self, zone: AvailabilityZone) -> dict[VmId, Member]:
         """Members of an availability zone that are alive."""
-        return self._zones.get(zone, {})
+        return self._alive_by_zone.get(zone, {})
 
     def zones(self) -> tuple[AvailabilityZone, ...]:
         """Availability zones with members alive."""
-        return tuple(zone for zone, found in self._zones.items() if found)
+        return tuple(
+            zone for zone, found in self._alive_by_zone.items() if found
+        )
 
     def readers(self, zone: AvailabilityZone) -> tuple[VmId, ...]:
         """Those who read the log for an availability zone, first one first.
 
         They are also its gateways to the other availability zones.
         """
-        if zone not in self._ranked:
+        if zone not in self._readers_by_zone:
             ranked = rank(self.in_zone(zone), 'reader')
-            self._ranked[zone] = tuple(ranked[:READERS])
-        return self._ranked[zone]
+            self._readers_by_zone[zone] = tuple(ranked[:READERS_PER_ZONE])
+        return self._readers_by_zone[zone]
 
     def record(self, member: VmId) -> MemberRecord | None:
         """What is known of a member."""
@@ -184,15 +188,17 @@
         """Whether a member is known to have died or left."""
         return member in self._tombstones
 
-    def judge(self, member: VmId, status: MemberStatus) -> Update | None:
+    def declare_status(
+        self, member: VmId, status: MemberStatus
+    ) -> Update | None:
         """State that a member is suspect or dead.
 
         :returns: the update to spread, if that is news.
         """
-        held = self._records.get(member)
-        if held is None or held.status >= status:
+        current = self._records.get(member)
+        if current is None or current.status >= status:
             return None
-        update = _as_update(replace(held, status=status))
+        update = _as_update(replace(current, status=status))
         return update if self.merge_update(update) else None
 
     def forget(self, member: VmId) -> None:
@@ -202,43 +208,45 @@
         del self._tombstones[member]
         self._store.forget(MEMBERS_TOPIC, member)
 
-    def _take(self, update: Update, told: MemberRecord) -> bool:
+    def _apply_record(self, update: Update, received: MemberRecord) -> bool:
         if not self._store.merge(update):
             return False
-        member = told.member.id
-        held = self._records.get(member)
-        assert held is None or told.precedence >= held.precedence, (
+        member = received.member.id
+        current = self._records.get(member)
+        assert current is None or received.precedence >= current.precedence, (
             f'record of {member} went back'
         )
-        self._records[member] = told
-        if held is not None:
-            self._displace(held.member)
-        self._place(told)
+        self._records[member] = received
+        if current is not None:
+            self._remove_from_zone(current.member)
+        self._add_to_zone(received)
         return True
 
-    def _is_doubt(self, update: Update, told: MemberRecord) -> bool:
+    def _contradicts_own_record(
+        self, update: Update, received: MemberRecord
+    ) -> bool:
         own = self._records.get(self._own.id)
-        if own is None or told.precedence < own.precedence:
+        if own is None or received.precedence < own.precedence:
             return False
         # An earlier run of this daemon may have used the same incarnation.
         # By content alone the older record, with its old address, could
         # win, and callers would be sent where nobody listens.
         return update.value != self._store.entries(MEMBERS_TOPIC)[self._own.id]
 
-    def _displace(self, member: Member) -> None:
-        self._zones[member.availability_zone].pop(member.id, None)
-        self._ranked.pop(member.availability_zone, None)
+    def _remove_from_zone(self, member: Member) -> None:
+        self._alive_by_zone[member.availability_zone].pop(member.id, None)
+        self._readers_by_zone.pop(member.availability_zone, None)
 
-    def _place(self, record: MemberRecord) -> None:
+    def _add_to_zone(self, record: MemberRecord) -> None:
         zone = record.member.availability_zone
-        found = self._zones.setdefault(zone, {})
+        found = self._alive_by_zone.setdefault(zone, {})
         if record.is_alive:
             found[record.member.id] = record.member
             self._tombstones.pop(record.member.id, None)
         else:
             self._tombstones[record.member.id] = record
         self._alive = None
-        self._ranked.pop(zone, None)
+        self._readers_by_zone.pop(zone, None)
 
 
 def _as_update(record: MemberRecord) -> Update:
--- a/libs/mesh/src/verbenamill_mesh/mesh.py
+++ b/libs/mesh/src/verbenamill_mesh/mesh.py
@@ -8,18 +8,18 @@
 from msgspec.structs import replace
 from returns.result import Result, Success
 
-from verbenamill_mesh.answers import Answers
 from verbenamill_mesh.broadcast import Broadcaster
 from verbenamill_mesh.checkpoints import Checkpoints
 from verbenamill_mesh.configuration import Configuration
-from verbenamill_mesh.exchange import Exchange, Learning
-from verbenamill_mesh.gateways import AddressBook
+from verbenamill_mesh.failure_detector import FailureDetector
+from verbenamill_mesh.gateway_directory import GatewayDirectory
 from verbenamill_mesh.links import Links
+from verbenamill_mesh.log_reader import LogReader
 from verbenamill_mesh.members import MEMBERS_TOPIC, Members
-from verbenamill_mesh.messages import Met, Note
+from verbenamill_mesh.messages import ApplicationMessage, ProbeReply
+from verbenamill_mesh.peer_sync import PeerSync, SyncCallbacks
 from verbenamill_mesh.peers import Peers
-from verbenamill_mesh.probing import Prober
-from verbenamill_mesh.reader import LogReader
+from verbenamill_mesh.request_handler import RequestHandler
 from verbenamill_mesh.ring import rank
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
@@ -33,7 +33,7 @@
 #: Longest that a daemon which leaves waits for others to hear of it.
 LEAVE_TIMEOUT = timedelta(seconds=2)
 #: Pause in which records that come together are offered together.
-OFFER_PAUSE = timedelta(milliseconds=50)
+PROGRESS_BATCH_PERIOD = timedelta(milliseconds=50)
 
 
 class Mesh:
@@ -68,15 +68,15 @@
         self._store = Store()
         self._cut_zones: frozenset[AvailabilityZone] = frozenset()
         self._handlers: dict[str, Callable[[VmId, bytes], None]] = {}
-        self._notes: list[tuple[VmId, Note]] = []
-        self._has_notes = trio.Event()
+        self._outgoing_messages: list[tuple[VmId, ApplicationMessage]] = []
+        self._has_outgoing_messages = trio.Event()
         self._members = Members(
             member,
             self._store,
             on_refutation_needed=self._refute,
         )
         self._links = Links(
-            own=member.id,
+            own_id=member.id,
             availability_zone=member.availability_zone,
             transport=self._transport,
             settings=self._settings,
@@ -88,34 +88,34 @@
             peers=self._peers,
             settings=self._settings,
             clock=clock,
-            on_newer=self._learn_updates,
+            on_newer=self._merge_and_gossip,
         )
-        self._exchange = Exchange(
+        self._peer_sync = PeerSync(
             store=self._store,
             configuration=configuration,
             links=self._links,
             settings=self._settings,
             stats=self._stats,
-            learning=Learning(
-                own=self._own,
-                updates=self._learn_updates,
-                entries=self._learn_entries,
+            callbacks=SyncCallbacks(
+                get_own_member=self._get_own_member,
+                on_updates=self._merge_and_gossip,
+                on_entries=self._apply_fetched_records,
             ),
         )
         self._checkpoints = Checkpoints(
             platform_log=log,
             configuration=configuration,
-            find_turn=self._find_turn,
+            get_writer_rank=self._get_writer_rank,
             settings=self._settings,
             clock=clock,
             random=random,
             stats=self._stats,
         )
-        self._addresses = AddressBook(
+        self._gateway_directory = GatewayDirectory(
             platform_log=log,
             members=self._members,
             peers=self._peers,
-            meet=self._exchange.meet,
+            probe_peer=self._peer_sync.probe_and_sync,
             settings=self._settings,
             random=random,
             stats=self._stats,
@@ -125,34 +125,34 @@
             configuration=configuration,
             checkpoints=self._checkpoints,
             peers=self._peers,
-            on_entries=self._spread_read,
+            on_entries=self._push_read_records,
             settings=self._settings,
             random=random,
             stats=self._stats,
         )
-        self._prober = Prober(
+        self._failure_detector = FailureDetector(
             members=self._members,
             peers=self._peers,
             seeds=seeds,
-            meet=self._exchange.meet,
-            find_addresses=self._addresses.find_addresses,
-            spread=self._spread_judgement,
+            probe_peer=self._peer_sync.probe_and_sync,
+            find_addresses=self._gateway_directory.find_addresses,
+            on_status_change=self._broadcast_status,
             settings=self._settings,
             clock=clock,
             random=random,
         )
-        self._answers = Answers(
+        self._request_handler = RequestHandler(
             members=self._members,
             store=self._store,
             configuration=configuration,
-            exchange=self._exchange,
+            peer_sync=self._peer_sync,
             broadcaster=self._broadcaster,
             peers=self._peers,
             links=self._links,
             settings=self._settings,
             clock=clock,
             stats=self._stats,
-            learn=self._learn,
+            merge_updates=self._merge_updates,
             handlers=self._handlers,
             is_cut=self._is_cut_zone,
         )
@@ -176,26 +176,26 @@
         """
         async with trio.open_nursery() as nursery:
             await nursery.start(self._links.run)
-            await nursery.start(self._answers.run)
+            await nursery.start(self._request_handler.run)
             await nursery.start(
                 self._transport.serve,
                 self._listen,
-                self._answers.answer,
+                self._request_handler.handle_request,
             )
             nursery.start_soon(self._broadcaster.run)
-            nursery.start_soon(self._prober.run)
+            nursery.start_soon(self._failure_detector.run)
             nursery.start_soon(self._reader.run)
             nursery.start_soon(self._checkpoints.run)
-            nursery.start_soon(self._addresses.run)
-            nursery.start_soon(self._offer_news)
-            nursery.start_soon(self._send_notes)
+            nursery.start_soon(self._gateway_directory.run)
+            nursery.start_soon(self._announce_progress)
+            nursery.start_soon(self._send_messages)
             task_status.started()
 
     async def leave(self) -> None:
         """Tell others that this daemon leaves, and wait for the first."""
-        update = self._members.say(leaves=True)
+        update = self._members.update_own_record(leaving=True)
         with trio.move_on_after(LEAVE_TIMEOUT.total_seconds()):
-            await self._broadcaster.deliver_everywhere((update,))
+            await self._broadcaster.deliver_to_all_zones((update,))
 
     @property
     def own_member(self) -> Member:
@@ -214,8 +214,10 @@
         """State the upstream that this daemon owns."""
         own = self._members.own_member
         if own.upstream != upstream:
-            update = self._members.say(own=replace(own, upstream=upstream))
-            self._broadcaster.tell_all((update,))
+            update = self._members.update_own_record(
+                own=replace(own, upstream=upstream)
+            )
+            self._broadcaster.broadcast((update,))
 
     def add_topic(self, name: str, merge: Merge) -> None:
         """Add a topic, before :meth:`run`.
@@ -228,7 +230,7 @@
         """Merge a value into a topic and spread it."""
         if self._store.merge(Update(topic, key, value)):
             merged = self._store.entries(topic)[key]
-            self._broadcaster.tell_all((Update(topic, key, merged),))
+            self._broadcaster.broadcast((Update(topic, key, merged),))
 
     def entries(self, topic: str) -> dict[str, bytes]:
         """Values of a topic by key."""
@@ -248,8 +250,8 @@
 
     def send(self, to: VmId, kind: str, body: bytes) -> None:
         """Send a message to one member; it may be lost."""
-        self._notes.append((to, Note(kind, body)))
-        self._has_notes.set()
+        self._outgoing_messages.append((to, ApplicationMessage(kind, body)))
+        self._has_outgoing_messages.set()
 
     def set_cut_zones(self, zones: frozenset[AvailabilityZone]) -> None:
         """Cut this daemon off from availability zones; a test switch."""
@@ -262,7 +264,7 @@
         self._stats.store_bytes = self._store.size()
         return self._stats
 
-    def _own(self) -> Member:
+    def _get_own_member(self) -> Member:
         return self._members.own_member
 
     def _refute(self, incarnation: int) -> None:
@@ -270,17 +272,17 @@
         own = self._members.own_member
         if self._members.has_left and incarnation <= own.incarnation:
             return
-        update = self._members.say(above=incarnation)
-        self._broadcaster.tell_calmly((update,))
+        update = self._members.update_own_record(exceeding=incarnation)
+        self._broadcaster.broadcast_within_budget((update,))
 
-    def _spread_judgement(self, update: Update) -> None:
-        self._broadcaster.tell_calmly((update,))
+    def _broadcast_status(self, update: Update) -> None:
+        self._broadcaster.broadcast_within_budget((update,))
 
-    def _learn_updates(self, updates: tuple[Update, ...]) -> None:
+    def _merge_and_gossip(self, updates: tuple[Update, ...]) -> None:
         """Take values that came by an exchange."""
-        self._broadcaster.tell_some(self._learn(updates))
+        self._broadcaster.gossip(self._merge_updates(updates))
 
-    def _learn(self, updates: tuple[Update, ...]) -> tuple[Update, ...]:
+    def _merge_updates(self, updates: tuple[Update, ...]) -> tuple[Update, ...]:
         """Merge values; those that were news."""
         return tuple(update for update in updates if self._merge(update))
 
@@ -289,27 +291,27 @@
             return self._members.merge_update(update)
         return self._store.merge(update)
 
-    def _learn_entries(self, entries: tuple[Entry, ...]) -> None:
+    def _apply_fetched_records(self, entries: tuple[Entry, ...]) -> None:
         """Take records that this daemon fetched from another one."""
         before = self._configuration.state.offset
-        if not self._configuration.take(entries):
+        if not self._configuration.apply_records(entries):
             self._stats.gaps += 1
-        news = tuple(entry for entry in entries if entry.offset > before)
-        self._stats.count_entries('pull', len(news))
+        new_entries = tuple(entry for entry in entries if entry.offset > before)
+        self._stats.count_records('pull', len(new_entries))
         if self._peers.is_reader and self.ready:
             # The zone may be cut off from the log, and this is how the
             # others learn at once what came from another zone.
-            self._broadcaster.tell_zone(news)
+            self._broadcaster.push_to_zone(new_entries)
 
-    def _spread_read(self, entries: tuple[Entry, ...]) -> None:
+    def _push_read_records(self, entries: tuple[Entry, ...]) -> None:
         """Push records that this daemon read from the log."""
-        self._stats.count_entries('log', len(entries))
+        self._stats.count_records('log', len(entries))
         if self.ready:
             # While it catches up it pushes nothing: a whole zone that
             # starts would get its history pushed, and fetches it anyway.
-            self._broadcaster.tell_zone(entries)
+            self._broadcaster.push_to_zone(entries)
 
-    def _find_turn(self) -> int | None:
+    def _get_writer_rank(self) -> int | None:
         """How many other zones write checkpoints before this daemon."""
         if not self._peers.is_primary or not self.ready:
             return None
@@ -318,7 +320,7 @@
         ranked = rank((VmId(zone) for zone in zones), 'checkpoint')
         return ranked.index(VmId(own))
 
-    async def _offer_news(self) -> None:
+    async def _announce_progress(self) -> None:
         """As the first reader, tell other zones how far this one is.
 
         Their own readers have it by then, unless they cannot reach the log.
@@ -326,40 +328,44 @@
         offset = self._configuration.state.offset
         while True:
             await self._configuration.wait_beyond(offset)
-            await trio.sleep(OFFER_PAUSE.total_seconds())
+            await trio.sleep(PROGRESS_BATCH_PERIOD.total_seconds())
             offset = self._configuration.state.offset
             if self._peers.is_primary and self.ready:
                 async with trio.open_nursery() as nursery:
                     for zone in self._peers.other_zones():
-                        nursery.start_soon(self._meet_zone, zone)
+                        nursery.start_soon(self._probe_zone, zone)
 
-    async def _meet_zone(self, zone: AvailabilityZone) -> None:
+    async def _probe_zone(self, zone: AvailabilityZone) -> None:
         for gateway in self._peers.gateways(zone):
-            met = await self._meet_member(gateway)
-            if isinstance(met, Success):
+            outcome = await self._probe_member(gateway)
+            if isinstance(outcome, Success):
                 return
 
-    async def _meet_member(self, member: VmId) -> Result[Met, str] | None:
+    async def _probe_member(
+        self, member: VmId
+    ) -> Result[ProbeReply, str] | None:
         record = self._members.record(member)
         if record is None:
             return None
-        return await self._exchange.meet(record.member.control)
+        return await self._peer_sync.probe_and_sync(record.member.control)
 
-    async def _send_notes(self) -> None:
+    async def _send_messages(self) -> None:
         async with trio.open_nursery() as nursery:
             while True:
-                await self._has_notes.wait()
-                self._has_notes = trio.Event()
-                notes = self._notes
-                self._notes = []
-                for to, note in notes:
-                    nursery.start_soon(self._send_note, to, note)
-
-    async def _send_note(self, to: VmId, note: Note) -> None:
+                await self._has_outgoing_messages.wait()
+                self._has_outgoing_messages = trio.Event()
+                outgoing = self._outgoing_messages
+                self._outgoing_messages = []
+                for to, message in outgoing:
+                    nursery.start_soon(self._send_message, to, message)
+
+    async def _send_message(
+        self, to: VmId, message: ApplicationMessage
+    ) -> None:
         if to == self._members.own_member.id:
-            self._answers.hand_over(to, note)
+            self._request_handler.dispatch_message(to, message)
         else:
-            await self._peers.ask(to, note)
+            await self._peers.send_request(to, message)
 
     def _is_cut_zone(self, zone: AvailabilityZone) -> bool:
         return zone in self._cut_zones
--- a/libs/mesh/src/verbenamill_mesh/messages.py
+++ b/libs/mesh/src/verbenamill_mesh/messages.py
@@ -6,16 +6,16 @@
 import msgspec
 from msgspec import Struct
 
+from verbenamill_mesh.ring import Arc
+from verbenamill_mesh.store import KeyValueHash, Update
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, Offset, VmId
-from verbenamill_mesh.ring import Arc
-from verbenamill_mesh.store import Mark, Update
 
 #: A push to one daemon only.
-NOWHERE = Arc(0, 0)
+EMPTY_ARC = Arc(0, 0)
 
 
-class Standing(Struct, frozen=True, array_like=True):
+class StateSummary(Struct, frozen=True, array_like=True):
     """What a daemon has: compared to find out who lacks something.
 
     :param root: digest over members and topics.
@@ -35,10 +35,10 @@
     """
 
     address: str
-    standing: Standing
+    summary: StateSummary
 
 
-class ProbeFor(Struct, frozen=True, array_like=True, tag='probe-for'):
+class IndirectProbe(Struct, frozen=True, array_like=True, tag='probe-for'):
     """Probe a third daemon that the sender cannot reach."""
 
     address: str
@@ -65,8 +65,8 @@
 
     entries: tuple[Entry, ...] = ()
     updates: tuple[Update, ...] = ()
-    arc: Arc = NOWHERE
-    crossed: bool = False
+    arc: Arc = EMPTY_ARC
+    is_cross_zone: bool = False
 
 
 class Pull(Struct, frozen=True, array_like=True, tag='pull'):
@@ -75,14 +75,16 @@
     after: Offset
 
 
-class Note(Struct, frozen=True, array_like=True, tag='note'):
+class ApplicationMessage(Struct, frozen=True, array_like=True, tag='note'):
     """A message of the application for the receiver alone."""
 
     kind: str
     body: bytes
 
 
-Request = Probe | ProbeFor | Compare | Fetch | Push | Pull | Note
+Request = (
+    Probe | IndirectProbe | Compare | Fetch | Push | Pull | ApplicationMessage
+)
 
 
 class Envelope(Struct, frozen=True, array_like=True):
@@ -93,54 +95,63 @@
     request: Request
 
 
-class Met(Struct, frozen=True, array_like=True, tag='met'):
+class ProbeReply(Struct, frozen=True, array_like=True, tag='met'):
     """Answer to a probe."""
 
-    standing: Standing
+    summary: StateSummary
 
 
-class Reached(Struct, frozen=True, array_like=True, tag='reached'):
+class IndirectProbeReply(Struct, frozen=True, array_like=True, tag='reached'):
     """Whether a probe for another daemon was answered."""
 
     reached: bool
 
 
-class Differences(Struct, frozen=True, array_like=True, tag='differences'):
+class DifferencesReply(Struct, frozen=True, array_like=True, tag='differences'):
     """Buckets that differ, and the marks of the keys in them."""
 
     buckets: tuple[int, ...]
-    marks: tuple[Mark, ...]
+    hashes: tuple[KeyValueHash, ...]
 
 
-class News(Struct, frozen=True, array_like=True, tag='news'):
+class ValuesReply(Struct, frozen=True, array_like=True, tag='news'):
     """Values; after a push, those that are newer than what was pushed."""
 
     updates: tuple[Update, ...] = ()
 
 
-class Tail(Struct, frozen=True, array_like=True, tag='tail'):
+class RecordsReply(Struct, frozen=True, array_like=True, tag='tail'):
     """Records that follow the offset asked for."""
 
     entries: tuple[Entry, ...]
 
 
-class Checkpoint(Struct, frozen=True, array_like=True, tag='checkpoint'):
+class CheckpointReply(Struct, frozen=True, array_like=True, tag='checkpoint'):
     """A whole state, since the records asked for are no longer kept."""
 
     body: bytes
 
 
-class Busy(Struct, frozen=True, array_like=True, tag='busy'):
+class BusyReply(Struct, frozen=True, array_like=True, tag='busy'):
     """Too many transfers; ask the daemon at this address, if any."""
 
     address: str
 
 
-class Done(Struct, frozen=True, array_like=True, tag='done'):
+class Acknowledgement(Struct, frozen=True, array_like=True, tag='done'):
     """The request was handled."""
 
 
-Reply = Met | Reached | Differences | News | Tail | Checkpoint | Busy | Done
+Reply = (
+    ProbeReply
+    | IndirectProbeReply
+    | DifferencesReply
+    | ValuesReply
+    | RecordsReply
+    | CheckpointReply
+    | BusyReply
+    | Acknowledgement
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _envelope_decoder = msgspec.msgpack.Decoder(Envelope)
--- a/libs/mesh/src/verbenamill_mesh/newest_records.py
+++ b/libs/mesh/src/verbenamill_mesh/newest_records.py
@@ -13,7 +13,7 @@
     count: int,
 ) -> Result[tuple[Entry, ...], LogError]:
     """Read the last records of a stream, however much has expired."""
-    match await _look(log, stream):
+    match await _read_available_page(log, stream):
         case Success(LogPage() as page):
             start = max(page.oldest, page.end - count)
             newest = await log.read(stream, Offset(start), limit=count)
@@ -23,7 +23,9 @@
     raise AssertionError('a result is a success or a failure')
 
 
-async def _look(log: Log, stream: str) -> Result[LogPage, LogError]:
+async def _read_available_page(
+    log: Log, stream: str
+) -> Result[LogPage, LogError]:
     first = await log.read(stream, Offset(0), limit=1)
     if isinstance(first, Failure):
         oldest = first.failure().oldest
--- a/libs/mesh/src/verbenamill_mesh/exchange.py
+++ b/libs/mesh/src/verbenamill_mesh/peer_sync.py
@@ -10,18 +10,18 @@
 from verbenamill_mesh.configuration import Configuration
 from verbenamill_mesh.links import Links
 from verbenamill_mesh.messages import (
-    Busy,
-    Checkpoint,
+    BusyReply,
+    CheckpointReply,
     Compare,
-    Differences,
+    DifferencesReply,
     Fetch,
-    Met,
-    News,
     Probe,
+    ProbeReply,
     Pull,
     Push,
-    Standing,
-    Tail,
+    RecordsReply,
+    StateSummary,
+    ValuesReply,
 )
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
@@ -34,14 +34,14 @@
 #: Rounds of one exchange; the next probe goes on where it ended.
 MAX_ROUNDS = 64
 #: Keys fetched, or values pushed, at a time.
-MAX_KEYS = 128
+MAX_BATCH_KEYS = 128
 
 
 #: Probes the daemon at an address.
-Meet = Callable[[str], Awaitable[Result[Met, str]]]
+ProbePeer = Callable[[str], Awaitable[Result[ProbeReply, str]]]
 
 
-class Learning(Struct, frozen=True, kw_only=True):
+class SyncCallbacks(Struct, frozen=True, kw_only=True):
     """Where what was learned goes, as closures of the mesh.
 
     :param own: this daemon as it is now.
@@ -49,12 +49,12 @@
     :param entries: takes records, with the offset before them.
     """
 
-    own: Callable[[], Member]
-    updates: Callable[[tuple[Update, ...]], None]
-    entries: Callable[[tuple[Entry, ...]], None]
+    get_own_member: Callable[[], Member]
+    on_updates: Callable[[tuple[Update, ...]], None]
+    on_entries: Callable[[tuple[Entry, ...]], None]
 
 
-class Exchange:
+class PeerSync:
     """Compares this daemon with others and mends what differs."""
 
     def __init__(
@@ -65,52 +65,52 @@
         links: Links,
         settings: MeshSettings,
         stats: MeshStats,
-        learning: Learning,
+        callbacks: SyncCallbacks,
     ) -> None:
         self._store = store
         self._configuration = configuration
         self._links = links
         self._settings = settings
         self._stats = stats
-        self._learning = learning
+        self._callbacks = callbacks
         self._is_reconciling = False
         self._is_pulling = False
 
-    def standing(self) -> Standing:
+    def summary(self) -> StateSummary:
         """What this daemon has."""
         head = self._configuration.head()
-        return Standing(
+        return StateSummary(
             offset=head.offset,
             digest=head.digest,
             root=self._store.root(),
             ready=self._stats.ready,
         )
 
-    async def meet(self, address: str) -> Result[Met, str]:
+    async def probe_and_sync(self, address: str) -> Result[ProbeReply, str]:
         """Probe another daemon, and mend what differs if it answers.
 
         :returns: its answer, once what this daemon lacked is fetched.
         """
-        own = self._learning.own()
-        probe = Probe(own.control, self.standing())
-        reply = await self._links.ask(address, probe)
+        own = self._callbacks.get_own_member()
+        probe = Probe(own.control, self.summary())
+        reply = await self._links.send_request(address, probe)
         match reply:
-            case Success(Met() as met):
-                await self._mend(address, met)
-                return Success(met)
+            case Success(ProbeReply() as probe_reply):
+                await self._sync_differences(address, probe_reply)
+                return Success(probe_reply)
             case Failure(reason):
                 return Failure(str(reason))
         return Failure('the answer is of another kind')
 
-    def weigh(self, standing: Standing) -> bool:
+    def compare_summary(self, summary: StateSummary) -> bool:
         """Compare heads with another daemon.
 
         :returns: whether it has records that this one lacks.
         """
         head = self._configuration.head()
-        if standing.offset > head.offset:
+        if summary.offset > head.offset:
             return True
-        if standing.offset == head.offset and standing.digest != head.digest:
+        if summary.offset == head.offset and summary.digest != head.digest:
             # Acceptance is a pure function, so one of the two runs another
             # program. Neither is stopped: callers would lose both.
             self._stats.digest_clashes += 1
@@ -118,13 +118,13 @@
                 Event.STATE_DIFFERS,
                 offset=head.offset,
                 own=head.digest,
-                other=standing.digest,
+                other=summary.digest,
             )
-        elif standing.ready:
+        elif summary.ready:
             self._stats.ready = True
         return False
 
-    async def catch_up(
+    async def fetch_records(
         self,
         address: str,
         *,
@@ -136,7 +136,7 @@
         self._is_pulling = True
         try:
             await trio.sleep(after.total_seconds())
-            await self._pull_all(address)
+            await self._pull_until_current(address)
         finally:
             self._is_pulling = False
 
@@ -147,33 +147,35 @@
         self._is_reconciling = True
         try:
             for _ in range(MAX_ROUNDS):
-                if not await self._reconcile_some(address):
+                if not await self._reconcile_round(address):
                     return
         finally:
             self._is_reconciling = False
 
-    async def _mend(self, address: str, met: Met) -> None:
-        if met.standing.root != self._store.root():
+    async def _sync_differences(
+        self, address: str, probe_reply: ProbeReply
+    ) -> None:
+        if probe_reply.summary.root != self._store.root():
             await self.reconcile(address)
-        if self.weigh(met.standing):
-            await self.catch_up(address)
-            self.weigh(met.standing)
+        if self.compare_summary(probe_reply.summary):
+            await self.fetch_records(address)
+            self.compare_summary(probe_reply.summary)
 
-    async def _pull_all(self, address: str) -> None:
+    async def _pull_until_current(self, address: str) -> None:
         redirects = 1
         for _ in range(MAX_ROUNDS):
             before = self._configuration.state.offset
-            reply = await self._links.ask(
+            reply = await self._links.send_request(
                 address,
                 Pull(before),
                 timeout=self._settings.transfer_timeout,
             )
             match reply:
-                case Success(Tail(entries=entries)) if entries:
-                    self._learning.entries(entries)
-                case Success(Checkpoint(body=body)):
+                case Success(RecordsReply(entries=entries)) if entries:
+                    self._callbacks.on_entries(entries)
+                case Success(CheckpointReply(body=body)):
                     self._restore(body)
-                case Success(Busy(address=other)) if other and redirects:
+                case Success(BusyReply(address=other)) if other and redirects:
                     redirects -= 1
                     address = other
                     continue
@@ -187,43 +189,48 @@
             case Failure(reason):
                 log(Event.CHECKPOINT_REFUSED, reason=reason)
 
-    async def _reconcile_some(self, address: str) -> bool:
+    async def _reconcile_round(self, address: str) -> bool:
         """Do one round; whether there may be more to do."""
-        reply = await self._links.ask(
+        reply = await self._links.send_request(
             address,
             Compare(self._store.buckets()),
         )
-        found = reply.value_or(None)
-        if not isinstance(found, Differences) or not found.buckets:
+        differences = reply.value_or(None)
+        if (
+            not isinstance(differences, DifferencesReply)
+            or not differences.buckets
+        ):
             return False
-        wanted, lacking = self._store.plan(found.buckets, found.marks)
-        return await self._fetch(address, wanted) and (
-            await self._offer(address, lacking)
+        to_fetch, to_push = self._store.plan_exchange(
+            differences.buckets, differences.hashes
+        )
+        return await self._fetch(address, to_fetch) and (
+            await self._push_updates(address, to_push)
         )
 
-    async def _fetch(self, address: str, wanted: list[bytes]) -> bool:
-        for first in range(0, len(wanted), MAX_KEYS):
-            some = tuple(wanted[first : first + MAX_KEYS])
-            reply = await self._links.ask(address, Fetch(some))
+    async def _fetch(self, address: str, to_fetch: list[bytes]) -> bool:
+        for first in range(0, len(to_fetch), MAX_BATCH_KEYS):
+            batch = tuple(to_fetch[first : first + MAX_BATCH_KEYS])
+            reply = await self._links.send_request(address, Fetch(batch))
             match reply:
-                case Success(News(updates=updates)):
-                    self._learning.updates(updates)
-                    await self._offer(address, self._find_newer(updates))
+                case Success(ValuesReply(updates=updates)):
+                    self._callbacks.on_updates(updates)
+                    await self._push_updates(address, self._find_newer(updates))
                 case _:
                     return False
         return True
 
-    async def _offer(self, address: str, lacking: list[Update]) -> bool:
-        for first in range(0, len(lacking), MAX_KEYS):
-            some = tuple(lacking[first : first + MAX_KEYS])
-            reply = await self._links.ask(address, Push(updates=some))
+    async def _push_updates(self, address: str, to_push: list[Update]) -> bool:
+        for first in range(0, len(to_push), MAX_BATCH_KEYS):
+            batch = tuple(to_push[first : first + MAX_BATCH_KEYS])
+            reply = await self._links.send_request(address, Push(updates=batch))
             match reply:
-                case Success(News(updates=updates)):
-                    self._learning.updates(updates)
+                case Success(ValuesReply(updates=updates)):
+                    self._callbacks.on_updates(updates)
                 case _:
                     return False
         return True
 
     def _find_newer(self, updates: tuple[Update, ...]) -> list[Update]:
-        found = map(self._store.find_newer, updates)
-        return [newer for newer in found if newer is not None]
+        stored = map(self._store.find_newer, updates)
+        return [newer for newer in stored if newer is not None]
--- a/libs/mesh/src/verbenamill_mesh/peers.py
+++ b/libs/mesh/src/verbenamill_mesh/peers.py
@@ -41,7 +41,7 @@
         """Whether it is the first of the readers."""
         return self._own_readers()[:1] == (self.own_member.id,)
 
-    async def ask(
+    async def send_request(
         self,
         member: VmId,
         request: Request,
@@ -52,25 +52,25 @@
         record = self._members.record(member)
         if record is None:
             return Failure(f'{member} is not known')
-        return await self._links.ask(
+        return await self._links.send_request(
             record.member.control,
             request,
             timeout=timeout,
         )
 
-    def mates(self) -> tuple[VmId, ...]:
+    def zone_peers(self) -> tuple[VmId, ...]:
         """Others in the own availability zone."""
         zone = self._members.in_zone(self.own_member.availability_zone)
         return tuple(member for member in zone if member != self.own_member.id)
 
     def neighbours(self) -> tuple[VmId, ...]:
         """The few in the own availability zone that this one probes."""
-        return neighbours(self.own_member.id, self.mates())
+        return neighbours(self.own_member.id, self.zone_peers())
 
     def choose_neighbours(self, count: int) -> list[VmId]:
         """Some of the neighbours, by chance."""
-        known = self.neighbours()
-        return self._random.sample(known, min(count, len(known)))
+        found = self.neighbours()
+        return self._random.sample(found, min(count, len(found)))
 
     def other_zones(self) -> tuple[AvailabilityZone, ...]:
         """The other availability zones with members alive."""
@@ -83,21 +83,21 @@
         The last is any member: an availability zone may have replaced its
         readers while it was cut off, and only the others are still there.
         """
-        known = tuple(self._members.in_zone(zone))
-        if not known:
+        found = tuple(self._members.in_zone(zone))
+        if not found:
             # All its members left after the caller had looked, as when the
             # whole mesh is stopped at once.
             return ()
         readers = self._members.readers(zone)
-        anyone = self._random.choice(known)
-        return tuple(dict.fromkeys((*readers, anyone)))
+        random_member = self._random.choice(found)
+        return tuple(dict.fromkeys((*readers, random_member)))
 
-    def any_address(self, besides: VmId) -> str:
+    def alternative_address(self, excluded: VmId) -> str:
         """Address of some mate that may help one who was sent away."""
-        mates = [mate for mate in self.mates() if mate != besides]
-        if not mates:
+        zone_peers = [peer for peer in self.zone_peers() if peer != excluded]
+        if not zone_peers:
             return ''
-        record = self._members.record(self._random.choice(mates))
+        record = self._members.record(self._random.choice(zone_peers))
         return record.member.control if record else ''
 
     def _own_readers(self) -> tuple[VmId, ...]:
--- a/libs/mesh/src/verbenamill_mesh/answers.py
+++ b/libs/mesh/src/verbenamill_mesh/request_handler.py
@@ -7,37 +7,37 @@
 from returns.result import Success
 
 from verbenamill_mesh.broadcast import Broadcaster
-from verbenamill_mesh.budget import Budget
 from verbenamill_mesh.configuration import Configuration
-from verbenamill_mesh.exchange import Exchange
 from verbenamill_mesh.links import Links
 from verbenamill_mesh.members import Members
 from verbenamill_mesh.messages import (
-    Busy,
-    Checkpoint,
+    Acknowledgement,
+    ApplicationMessage,
+    BusyReply,
+    CheckpointReply,
     Compare,
-    Differences,
-    Done,
+    DifferencesReply,
     Envelope,
     Fetch,
-    Met,
-    News,
-    Note,
+    IndirectProbe,
+    IndirectProbeReply,
     Probe,
-    ProbeFor,
+    ProbeReply,
     Pull,
     Push,
-    Reached,
+    RecordsReply,
     Reply,
-    Tail,
+    ValuesReply,
     decode_envelope,
     encode,
     kind_of,
 )
+from verbenamill_mesh.peer_sync import PeerSync
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
 from verbenamill_mesh.store import Store, Update
+from verbenamill_mesh.token_bucket import TokenBucket
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, Offset, VmId
 from verbenamill_runtime import Clock
@@ -45,14 +45,14 @@
 from verbenamill_telemetry.logs import log
 
 #: Records in one answer.
-MAX_ENTRIES = 200
+MAX_PAGE_RECORDS = 200
 #: Bytes of records after which an answer takes no further one.
-MAX_TAIL = 512 * 1024
+MAX_PAGE_BYTES = 512 * 1024
 #: Fetches of records that wait; the next probe tells of more.
-MAX_FETCHES = 16
+MAX_QUEUED_FETCHES = 16
 
 
-class Answers:
+class RequestHandler:
     """Answers requests, and does what they ask for.
 
     :param learn: merges values and returns those that were news.
@@ -66,33 +66,37 @@
         members: Members,
         store: Store,
         configuration: Configuration,
-        exchange: Exchange,
+        peer_sync: PeerSync,
         broadcaster: Broadcaster,
         peers: Peers,
         links: Links,
         settings: MeshSettings,
         clock: Clock,
         stats: MeshStats,
-        learn: Callable[[tuple[Update, ...]], tuple[Update, ...]],
+        merge_updates: Callable[[tuple[Update, ...]], tuple[Update, ...]],
         handlers: dict[str, Callable[[VmId, bytes], None]],
         is_cut: Callable[[AvailabilityZone], bool],
     ) -> None:
         self._members = members
         self._store = store
         self._configuration = configuration
-        self._exchange = exchange
+        self._peer_sync = peer_sync
         self._broadcaster = broadcaster
         self._peers = peers
         self._links = links
         self._settings = settings
         self._stats = stats
-        self._learn = learn
+        self._merge_updates = merge_updates
         self._handlers = handlers
         self._is_cut = is_cut
-        self._transfers = Budget(settings.transfers_per_second, clock)
-        channel = trio.open_memory_channel[tuple[str, timedelta]](MAX_FETCHES)
-        self._fetches = channel[0]
-        self._to_fetch = channel[1]
+        self._transfer_bucket = TokenBucket(
+            settings.transfers_per_second, clock
+        )
+        channel = trio.open_memory_channel[tuple[str, timedelta]](
+            MAX_QUEUED_FETCHES
+        )
+        self._fetch_queue = channel[0]
+        self._fetch_requests = channel[1]
 
     async def run(
         self,
@@ -101,10 +105,10 @@
     ) -> None:
         """Fetch what requests told of, until cancelled."""
         task_status.started()
-        async for address, delay in self._to_fetch:
-            await self._exchange.catch_up(address, after=delay)
+        async for address, delay in self._fetch_requests:
+            await self._peer_sync.fetch_records(address, after=delay)
 
-    async def answer(self, body: bytes) -> bytes | None:
+    async def handle_request(self, body: bytes) -> bytes | None:
         """Answer a request, or ``None`` when it gets no answer."""
         envelope = decode_envelope(body)
         if envelope is None:
@@ -118,98 +122,102 @@
         self._stats.count_sent(kind_of(reply), len(encoded))
         return encoded
 
-    def hand_over(self, sender: VmId, note: Note) -> None:
+    def dispatch_message(
+        self, sender: VmId, message: ApplicationMessage
+    ) -> None:
         """Hand a message to the application."""
-        handler = self._handlers.get(note.kind)
+        handler = self._handlers.get(message.kind)
         if handler is None:
-            log(Event.MESSAGE_UNKNOWN, kind=note.kind)
+            log(Event.MESSAGE_UNKNOWN, kind=message.kind)
         else:
-            handler(sender, note.body)
+            handler(sender, message.body)
 
     async def _handle(self, envelope: Envelope) -> Reply:
         sender = envelope.sender
-        reply: Reply = Done()
+        reply: Reply = Acknowledgement()
         match envelope.request:
             case Probe() as probe:
-                reply = self._meet(probe)
-            case ProbeFor(address=address):
-                outcome = await self._exchange.meet(address)
-                reply = Reached(isinstance(outcome, Success))
+                reply = self._handle_probe(probe)
+            case IndirectProbe(address=address):
+                outcome = await self._peer_sync.probe_and_sync(address)
+                reply = IndirectProbeReply(isinstance(outcome, Success))
             case Push() as push:
-                reply = self._take_push(sender, push)
+                reply = self._handle_push(sender, push)
             case Compare(buckets=buckets):
-                differing, marks = self._store.differ(buckets)
-                reply = Differences(differing, tuple(marks))
+                differing, hashes = self._store.find_differing_buckets(buckets)
+                reply = DifferencesReply(differing, tuple(hashes))
             case Fetch(keys=keys):
-                reply = self._look_up(sender, keys)
+                reply = self._handle_fetch(sender, keys)
             case Pull(after=after):
-                reply = self._transfer(sender, after)
-            case Note() as note:
-                self.hand_over(sender, note)
+                reply = self._handle_pull(sender, after)
+            case ApplicationMessage() as message:
+                self.dispatch_message(sender, message)
         return reply
 
-    def _meet(self, probe: Probe) -> Met:
-        if self._exchange.weigh(probe.standing):
+    def _handle_probe(self, probe: Probe) -> ProbeReply:
+        if self._peer_sync.compare_summary(probe.summary):
             # The own reader is likely to have it in a moment.
-            self._fetch_from(probe.address, self._settings.offer_delay)
-        return Met(self._exchange.standing())
+            self._queue_fetch(probe.address, self._settings.fetch_delay)
+        return ProbeReply(self._peer_sync.summary())
 
-    def _take_push(self, sender: VmId, push: Push) -> News:
-        self._take_entries(sender, push.entries)
-        news = self._learn(push.updates)
+    def _handle_push(self, sender: VmId, push: Push) -> ValuesReply:
+        self._apply_entries(sender, push.entries)
+        new_updates = self._merge_updates(push.updates)
         if push.arc.length:
             self._broadcaster.forward(push)
         else:
-            self._broadcaster.tell_some(news)
+            self._broadcaster.gossip(new_updates)
         newer = map(self._store.find_newer, push.updates)
-        return News(tuple(update for update in newer if update is not None))
+        return ValuesReply(
+            tuple(update for update in newer if update is not None)
+        )
 
-    def _take_entries(self, sender: VmId, entries: tuple[Entry, ...]) -> None:
+    def _apply_entries(self, sender: VmId, entries: tuple[Entry, ...]) -> None:
         before = self._configuration.state.offset
-        if not self._configuration.take(entries):
+        if not self._configuration.apply_records(entries):
             self._stats.gaps += 1
             record = self._members.record(sender)
             if record is not None:
-                self._fetch_from(record.member.control, timedelta(0))
+                self._queue_fetch(record.member.control, timedelta(0))
         after = self._configuration.state.offset
-        self._stats.count_entries('push', after - before)
+        self._stats.count_records('push', after - before)
 
-    def _fetch_from(self, address: str, delay: timedelta) -> None:
+    def _queue_fetch(self, address: str, delay: timedelta) -> None:
         try:
-            self._fetches.send_nowait((address, delay))
+            self._fetch_queue.send_nowait((address, delay))
         except trio.WouldBlock:
             # One that waits already fetches the same records.
             return
 
-    def _look_up(self, sender: VmId, keys: tuple[bytes, ...]) -> Reply:
-        if not self._transfers.take():
-            return self._refuse(sender)
+    def _handle_fetch(self, sender: VmId, keys: tuple[bytes, ...]) -> Reply:
+        if not self._transfer_bucket.try_take():
+            return self._refuse_transfer(sender)
         self._stats.transfers += 1
-        return News(tuple(self._store.look_up(keys)))
-
-    def _transfer(self, sender: VmId, after: Offset) -> Reply:
-        tail = self._configuration.tail(after, MAX_ENTRIES)
-        if tail is not None and not tail:
-            return Tail(())
-        if not self._transfers.take():
-            return self._refuse(sender)
+        return ValuesReply(tuple(self._store.look_up(keys)))
+
+    def _handle_pull(self, sender: VmId, after: Offset) -> Reply:
+        page = self._configuration.records_after(after, MAX_PAGE_RECORDS)
+        if page is not None and not page:
+            return RecordsReply(())
+        if not self._transfer_bucket.try_take():
+            return self._refuse_transfer(sender)
         self._stats.transfers += 1
-        if tail is None:
-            return Checkpoint(self._configuration.checkpoint())
-        return Tail(_limit(tail))
+        if page is None:
+            return CheckpointReply(self._configuration.checkpoint())
+        return RecordsReply(_limit_page(page))
 
-    def _refuse(self, sender: VmId) -> Busy:
+    def _refuse_transfer(self, sender: VmId) -> BusyReply:
         # A herd that returns asks at once. A queue would make all of them
         # wait here, with answers that come after their timeouts; others
         # have the same to give.
         self._stats.transfers_refused += 1
-        return Busy(self._peers.any_address(sender))
+        return BusyReply(self._peers.alternative_address(sender))
 
 
-def _limit(entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
+def _limit_page(entries: tuple[Entry, ...]) -> tuple[Entry, ...]:
     size = 0
     for count, entry in enumerate(entries):
         size += len(entry.body)
-        if size > MAX_TAIL:
+        if size > MAX_PAGE_BYTES:
             return entries[: max(count, 1)]
     return entries
--- a/libs/mesh/src/verbenamill_mesh/ring.py
+++ b/libs/mesh/src/verbenamill_mesh/ring.py
@@ -13,7 +13,7 @@
 from verbenamill_model.typing import VmId
 
 #: Positions on the ring; below 2**63 so that any codec carries them.
-RING = 2**60
+RING_SIZE = 2**60
 
 
 class Arc(Struct, frozen=True, array_like=True):
@@ -24,29 +24,32 @@
 
     def has(self, position: int) -> bool:
         """Whether a position lies on the arc."""
-        return (position - self.start) % RING < self.length
+        return (position - self.start) % RING_SIZE < self.length
 
     def without(self, position: int) -> 'tuple[Arc, ...]':
         """The arc without one position on it."""
         if not self.has(position):
             return (self,)
-        if self.length == RING:
+        if self.length == RING_SIZE:
             # In one piece: a piece without a member known here would have
             # nobody to answer for those that are not known.
-            return (Arc((position + 1) % RING, RING - 1),)
-        before = (position - self.start) % RING
+            return (Arc((position + 1) % RING_SIZE, RING_SIZE - 1),)
+        before = (position - self.start) % RING_SIZE
         after = self.length - before - 1
-        parts = (Arc(self.start, before), Arc((position + 1) % RING, after))
+        parts = (
+            Arc(self.start, before),
+            Arc((position + 1) % RING_SIZE, after),
+        )
         return tuple(part for part in parts if part.length)
 
 
 #: All of it.
-WHOLE = Arc(0, RING)
+WHOLE_RING = Arc(0, RING_SIZE)
 
 
 def position_of(member: VmId) -> int:
     """Place of a member on the ring."""
-    return _hash_of('ring', member) % RING
+    return _hash_of('ring', member) % RING_SIZE
 
 
 def rank(members: Iterable[VmId], purpose: str) -> list[VmId]:
@@ -70,7 +73,7 @@
         return ()
     distances = [_distance(start, other) for other in others]
     found: dict[VmId, None] = dict.fromkeys(others[:2])
-    step = RING // 2
+    step = RING_SIZE // 2
     while step > distances[0]:
         for other, distance in zip(others, distances, strict=True):
             if distance >= step:
@@ -122,7 +125,7 @@
 def _length(start: int, end: int, arc: Arc) -> int:
     if start == arc.start and end == arc.start + arc.length:
         return arc.length
-    return (end - start) % RING
+    return (end - start) % RING_SIZE
 
 
 def _sort_from(start: int, members: Iterable[VmId]) -> Sequence[VmId]:
@@ -130,7 +133,7 @@
 
 
 def _distance(start: int, member: VmId) -> int:
-    return (position_of(member) - start) % RING
+    return (position_of(member) - start) % RING_SIZE
 
 
 @lru_cache(maxsize=2**17)
--- a/libs/mesh/src/verbenamill_mesh/settings.py
+++ b/libs/mesh/src/verbenamill_mesh/settings.py
@@ -32,15 +32,15 @@
     probe_period: timedelta = timedelta(seconds=1)
     request_timeout: timedelta = timedelta(milliseconds=500)
     transfer_timeout: timedelta = timedelta(seconds=5)
-    suspicion: timedelta = timedelta(seconds=4)
-    tombstone_life: timedelta = timedelta(minutes=10)
+    suspicion_timeout: timedelta = timedelta(seconds=4)
+    tombstone_lifetime: timedelta = timedelta(minutes=10)
     arity: int = 4
-    idle_link: timedelta = timedelta(seconds=60)
-    long_poll: timedelta = timedelta(seconds=5)
-    second_delay: timedelta = timedelta(milliseconds=250)
-    offer_delay: timedelta = timedelta(milliseconds=150)
+    link_idle_timeout: timedelta = timedelta(seconds=60)
+    long_poll_wait: timedelta = timedelta(seconds=5)
+    second_reader_delay: timedelta = timedelta(milliseconds=250)
+    fetch_delay: timedelta = timedelta(milliseconds=150)
     checkpoint_interval: timedelta = timedelta(minutes=1)
     gateways_interval: timedelta = timedelta(seconds=30)
-    lonely_after: timedelta = timedelta(seconds=3)
+    isolation_timeout: timedelta = timedelta(seconds=3)
     transfers_per_second: float = 20
     rumours_per_second: float = 5
--- a/libs/mesh/src/verbenamill_mesh/stats.py
+++ b/libs/mesh/src/verbenamill_mesh/stats.py
@@ -58,7 +58,7 @@
         """Count a request to the log."""
         _add(self.log_requests, stream, 1)
 
-    def count_entries(self, origin: str, count: int) -> None:
+    def count_records(self, origin: str, count: int) -> None:
         """Count records by where they came from first."""
         _add(self.entries_first_from, origin, count)
 
--- a/libs/mesh/src/verbenamill_mesh/store.py
+++ b/libs/mesh/src/verbenamill_mesh/store.py
@@ -11,12 +11,12 @@
 
 from msgspec import Struct
 
-BUCKETS = 256
+BUCKET_COUNT = 256
 DIGEST_SIZE = 8
 #: Marks in one answer; more buckets follow in the next round.
-MAX_MARKS = 1024
+MAX_HASHES = 1024
 #: Keys remembered as dropped, so that a peer does not bring them back.
-MAX_DROPPED = 4096
+MAX_DROPPED_KEYS = 4096
 
 Merge = Callable[[bytes | None, bytes], bytes]
 
@@ -29,21 +29,21 @@
     value: bytes
 
 
-class Mark(Struct, frozen=True, array_like=True):
+class KeyValueHash(Struct, frozen=True, array_like=True):
     """A key and its value by their hashes."""
 
     key: bytes
     value: bytes
 
 
-def count_all(value: bytes) -> bool:
+def include_all(value: bytes) -> bool:
     """Count every value in the digests."""
     return True
 
 
 class _Topic(Struct):
     merge: Merge
-    is_counted: Callable[[bytes], bool]
+    is_in_digest: Callable[[bytes], bool]
     entries: dict[str, bytes]
 
 
@@ -52,10 +52,12 @@
 
     def __init__(self) -> None:
         self._topics: dict[str, _Topic] = {}
-        self._marks: list[dict[bytes, bytes]] = [{} for _ in range(BUCKETS)]
-        self._digests = [0 for _ in range(BUCKETS)]
-        self._names: dict[bytes, tuple[str, str]] = {}
-        self._dropped: OrderedDict[bytes, None] = OrderedDict()
+        self._value_hashes: list[dict[bytes, bytes]] = [
+            {} for _ in range(BUCKET_COUNT)
+        ]
+        self._digests = [0 for _ in range(BUCKET_COUNT)]
+        self._topic_keys: dict[bytes, tuple[str, str]] = {}
+        self._dropped_keys: OrderedDict[bytes, None] = OrderedDict()
         self._root: bytes | None = None
 
     def add_topic(
@@ -63,7 +65,7 @@
         name: str,
         merge: Merge,
         *,
-        is_counted: Callable[[bytes], bool] = count_all,
+        is_in_digest: Callable[[bytes], bool] = include_all,
     ) -> None:
         """Add a topic.
 
@@ -73,7 +75,7 @@
             that does not is still told to peers that hold an older one.
         """
         assert name not in self._topics, f'topic {name} is there already'
-        self._topics[name] = _Topic(merge, is_counted, {})
+        self._topics[name] = _Topic(merge, is_in_digest, {})
 
     def entries(self, topic: str) -> dict[str, bytes]:
         """Values of a topic by key."""
@@ -86,16 +88,16 @@
         """
         topic = self._topics.get(update.topic)
         key = _key_of(update.topic, update.key)
-        if topic is None or key in self._dropped:
+        if topic is None or key in self._dropped_keys:
             return False
-        held = topic.entries.get(update.key)
-        merged = topic.merge(held, update.value)
-        if merged == held:
+        current = topic.entries.get(update.key)
+        merged = topic.merge(current, update.value)
+        if merged == current:
             return False
         topic.entries[update.key] = merged
-        self._names[key] = (update.topic, update.key)
-        counted = topic.is_counted(merged)
-        self._mark(key, _hash_of(merged) if counted else None)
+        self._topic_keys[key] = (update.topic, update.key)
+        in_digest = topic.is_in_digest(merged)
+        self._set_hash(key, _hash_of(merged) if in_digest else None)
         return True
 
     def find_newer(self, update: Update) -> Update | None:
@@ -103,26 +105,26 @@
         topic = self._topics.get(update.topic)
         if topic is None:
             return None
-        held = topic.entries.get(update.key)
-        if held is None or held == update.value:
+        current = topic.entries.get(update.key)
+        if current is None or current == update.value:
             return None
-        return Update(update.topic, update.key, held)
+        return Update(update.topic, update.key, current)
 
     def forget(self, topic: str, key: str) -> None:
         """Remove a value; a peer that has it may bring it back."""
         self._topics[topic].entries.pop(key, None)
         hashed = _key_of(topic, key)
-        self._names.pop(hashed, None)
-        self._mark(hashed, None)
+        self._topic_keys.pop(hashed, None)
+        self._set_hash(hashed, None)
 
     def drop(self, topic: str, keep: Callable[[str], bool]) -> None:
         """Remove values for good; late copies of them are ignored."""
         ended = [key for key in self._topics[topic].entries if not keep(key)]
         for key in ended:
             self.forget(topic, key)
-            self._dropped[_key_of(topic, key)] = None
-        while len(self._dropped) > MAX_DROPPED:
-            self._dropped.popitem(last=False)
+            self._dropped_keys[_key_of(topic, key)] = None
+        while len(self._dropped_keys) > MAX_DROPPED_KEYS:
+            self._dropped_keys.popitem(last=False)
 
     def root(self) -> bytes:
         """Digest over everything that is counted."""
@@ -136,53 +138,59 @@
             digest.to_bytes(DIGEST_SIZE) for digest in self._digests
         )
 
-    def differ(self, buckets: bytes) -> tuple[tuple[int, ...], list[Mark]]:
+    def find_differing_buckets(
+        self, buckets: bytes
+    ) -> tuple[tuple[int, ...], list[KeyValueHash]]:
         """Buckets that differ from a peer's, with the marks in them.
 
         :returns: at least one bucket when any differs, and no further ones
             beyond ``MAX_MARKS`` marks.
         """
         differing: list[int] = []
-        marks: list[Mark] = []
+        hashes: list[KeyValueHash] = []
         for bucket, digest in enumerate(self._digests):
-            place = bucket * DIGEST_SIZE
-            theirs = buckets[place : place + DIGEST_SIZE]
-            if digest.to_bytes(DIGEST_SIZE) == theirs:
+            start = bucket * DIGEST_SIZE
+            peer_digest = buckets[start : start + DIGEST_SIZE]
+            if digest.to_bytes(DIGEST_SIZE) == peer_digest:
                 continue
-            held = self._marks[bucket]
-            if differing and len(marks) + len(held) > MAX_MARKS:
+            bucket_hashes = self._value_hashes[bucket]
+            if differing and len(hashes) + len(bucket_hashes) > MAX_HASHES:
                 break
             differing.append(bucket)
-            marks.extend(Mark(key, mark) for key, mark in held.items())
-        return tuple(differing), marks
+            hashes.extend(
+                KeyValueHash(key, value_hash)
+                for key, value_hash in bucket_hashes.items()
+            )
+        return tuple(differing), hashes
 
-    def plan(
+    def plan_exchange(
         self,
         buckets: tuple[int, ...],
-        marks: tuple[Mark, ...],
+        hashes: tuple[KeyValueHash, ...],
     ) -> tuple[list[bytes], list[Update]]:
         """Work out an exchange from a peer's marks.
 
         :returns: keys whose values to fetch, and values the peer lacks.
         """
-        theirs = {mark.key: mark.value for mark in marks}
-        wanted = [
+        peer_hashes = {pair.key: pair.value for pair in hashes}
+        to_fetch = [
             key
-            for key, mark in theirs.items()
-            if key not in self._dropped and self._mark_of(key) != mark
+            for key, value_hash in peer_hashes.items()
+            if key not in self._dropped_keys
+            and self._value_hash_of(key) != value_hash
         ]
-        lacking = [
+        to_push = [
             key
             for bucket in buckets
-            if bucket < BUCKETS
-            for key in self._marks[bucket]
-            if key not in theirs
+            if bucket < BUCKET_COUNT
+            for key in self._value_hashes[bucket]
+            if key not in peer_hashes
         ]
-        return wanted, self.look_up(tuple(lacking))
+        return to_fetch, self.look_up(tuple(to_push))
 
     def look_up(self, keys: tuple[bytes, ...]) -> list[Update]:
         """Values of keys, as far as the store has them."""
-        found = (self._names.get(key) for key in keys)
+        found = (self._topic_keys.get(key) for key in keys)
         return [
             Update(name[0], name[1], self._topics[name[0]].entries[name[1]])
             for name in found
@@ -197,26 +205,26 @@
             for key, value in topic.entries.items()
         )
 
-    def _mark_of(self, key: bytes) -> bytes | None:
-        return self._marks[key[0]].get(key)
+    def _value_hash_of(self, key: bytes) -> bytes | None:
+        return self._value_hashes[key[0]].get(key)
 
-    def _mark(self, key: bytes, value: bytes | None) -> None:
+    def _set_hash(self, key: bytes, value: bytes | None) -> None:
         bucket = key[0]
-        marks = self._marks[bucket]
-        before = marks.pop(key, None)
+        hashes = self._value_hashes[bucket]
+        before = hashes.pop(key, None)
         self._root = None
         if before is not None:
-            self._digests[bucket] ^= _join(key, before)
+            self._digests[bucket] ^= _combine_hashes(key, before)
         if value is not None:
-            marks[key] = value
-            self._digests[bucket] ^= _join(key, value)
+            hashes[key] = value
+            self._digests[bucket] ^= _combine_hashes(key, value)
 
 
 def _key_of(topic: str, key: str) -> bytes:
     return _hash_of(f'{topic}|{key}'.encode())
 
 
-def _join(key: bytes, value: bytes) -> int:
+def _combine_hashes(key: bytes, value: bytes) -> int:
     return int.from_bytes(_hash_of(key + value))
 
 
--- a/libs/mesh/src/verbenamill_mesh/testing.py
+++ b/libs/mesh/src/verbenamill_mesh/testing.py
@@ -10,7 +10,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from verbenamill_mesh.transport import Answering, Link
+from verbenamill_mesh.transport import Link, RequestCallback
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import LogError, LogFault, LogPage
@@ -41,7 +41,7 @@
     ) -> None:
         self._random = random
         self._delay = delay.total_seconds()
-        self._listeners: dict[str, Answering] = {}
+        self._listeners: dict[str, RequestCallback] = {}
         self._silent: set['_MemoryLink'] = set()
         self._links: set['_MemoryLink'] = set()
         self.is_lost: IsLost = lose_nothing
@@ -54,9 +54,9 @@
         """Let every open connection go silent for good."""
         self._silent |= self._links
 
-    def listen(self, address: str, answering: Answering) -> None:
+    def listen(self, address: str, on_request: RequestCallback) -> None:
         """Open an address."""
-        self._listeners[address] = answering
+        self._listeners[address] = on_request
 
     def close(self, address: str) -> None:
         """Close an address."""
@@ -71,21 +71,21 @@
         self._links.discard(link)
         self._silent.discard(link)
 
-    async def carry(self, link: '_MemoryLink', body: bytes) -> bytes:
+    async def deliver(self, link: '_MemoryLink', body: bytes) -> bytes:
         """Carry a request and its answer; lost ones wait for ever."""
-        await self._travel(link, link.source, link.target)
-        answering = self._listeners.get(link.target)
-        if answering is None:
+        await self._transmit(link, link.source, link.target)
+        on_request = self._listeners.get(link.target)
+        if on_request is None:
             await trio.sleep_forever()
             raise AssertionError('trio sleeps for ever')
-        reply = await answering(body)
+        reply = await on_request(body)
         if reply is None:
             await trio.sleep_forever()
             raise AssertionError('trio sleeps for ever')
-        await self._travel(link, link.target, link.source)
+        await self._transmit(link, link.target, link.source)
         return reply
 
-    async def _travel(
+    async def _transmit(
         self,
         link: '_MemoryLink',
         source: str,
@@ -110,7 +110,7 @@
 
     async def request(self, body: bytes) -> Result[bytes, str]:
         """Send a request and wait for its answer."""
-        return Success(await self._network.carry(self, body))
+        return Success(await self._network.deliver(self, body))
 
     def close(self) -> None:
         """Close the connection."""
@@ -127,12 +127,12 @@
     async def serve(
         self,
         address: str,
-        answering: Answering,
+        on_request: RequestCallback,
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """Answer requests until cancelled."""
-        self._network.listen(address, answering)
+        self._network.listen(address, on_request)
         task_status.started()
         try:
             await trio.sleep_forever()
@@ -150,8 +150,8 @@
     :param kept: records that a stream keeps.
     """
 
-    def __init__(self, *, kept: int = 10_000) -> None:
-        self._kept = kept
+    def __init__(self, *, max_records: int = 10_000) -> None:
+        self._max_records = max_records
         self._streams: dict[str, list[Entry]] = {}
         self._changed = trio.Event()
         self.is_down = False
@@ -215,7 +215,7 @@
         limit: int,
     ) -> Result[LogPage, LogError]:
         end = self._end(stream)
-        oldest = Offset(max(0, end - self._kept))
+        oldest = Offset(max(0, end - self._max_records))
         if start < oldest:
             return Failure(
                 LogError(
@@ -234,7 +234,7 @@
         )
 
 
-class LogView:
+class LogConnection:
     """One availability zone's way to a log, which may be cut.
 
     :param log: shared with the other availability zones.
--- a/libs/mesh/src/verbenamill_mesh/transport.py
+++ b/libs/mesh/src/verbenamill_mesh/transport.py
@@ -11,12 +11,12 @@
 from returns.result import Failure, Result, Success
 
 #: Requests that one daemon answers at a time.
-MAX_ANSWERING = 16
+MAX_CONCURRENT_REQUESTS = 16
 #: Longest message; a compressed checkpoint is far below it.
-MAX_MESSAGE = 16 * 1024 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
 #: Answers a request; ``None`` leaves it without an answer.
-Answering = Callable[[bytes], Awaitable[bytes | None]]
+RequestCallback = Callable[[bytes], Awaitable[bytes | None]]
 
 
 class Link(Protocol):
@@ -35,7 +35,7 @@
     async def serve(
         self,
         address: str,
-        answering: Answering,
+        on_request: RequestCallback,
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
@@ -49,7 +49,7 @@
     """A link over a ``Req0`` socket."""
 
     def __init__(self, address: str) -> None:
-        self._socket = Req0(recv_max_size=MAX_MESSAGE)
+        self._socket = Req0(recv_max_size=MAX_MESSAGE_BYTES)
         try:
             # A dial that blocks would hold up the whole loop while the
             # peer's machine is off; this one goes on in the background.
@@ -77,7 +77,7 @@
     async def serve(
         self,
         address: str,
-        answering: Answering,
+        on_request: RequestCallback,
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
@@ -85,11 +85,11 @@
 
         :raises NNGException: when the address cannot be bound.
         """
-        with Rep0(recv_max_size=MAX_MESSAGE) as socket:
+        with Rep0(recv_max_size=MAX_MESSAGE_BYTES) as socket:
             socket.listen(_url(address))
             async with trio.open_nursery() as nursery:
-                for _ in range(MAX_ANSWERING):
-                    nursery.start_soon(_answer, socket, answering)
+                for _ in range(MAX_CONCURRENT_REQUESTS):
+                    nursery.start_soon(_serve_context, socket, on_request)
                 task_status.started()
 
     def dial(self, address: str) -> Link:
@@ -97,15 +97,15 @@
         return PynngLink(address)
 
 
-async def _answer(socket: Rep0, answering: Answering) -> None:
+async def _serve_context(socket: Rep0, on_request: RequestCallback) -> None:
     with socket.new_context() as context:
         while True:
-            await _answer_one(context, answering)
+            await _serve_request(context, on_request)
 
 
-async def _answer_one(context: Context, answering: Answering) -> None:
+async def _serve_request(context: Context, on_request: RequestCallback) -> None:
     try:
-        reply = await answering(await context.arecv())
+        reply = await on_request(await context.arecv())
         if reply is not None:
             await context.asend(reply)
     except NNGException:
--- a/libs/mesh/tests/conftest.py
+++ b/libs/mesh/tests/conftest.py
@@ -8,7 +8,6 @@
 from trio._core import _run
 
 from verbenamill_mesh import Configuration, Mesh, MeshSettings
-from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_mesh.testing import EPOCH, MemoryLog, MemoryNetwork
 from verbenamill_model import (
     Route,
@@ -19,6 +18,7 @@
 )
 from verbenamill_model.traffic import Member
 from verbenamill_runtime import TrioClock
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 
 class Daemon:
--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -7,20 +7,20 @@
 from returns.result import Failure, Success
 
 from verbenamill_mesh import Configuration, MeshSettings
-from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 from verbenamill_mesh.checkpoints import CheckpointRecord
 from verbenamill_mesh.messages import (
-    Busy,
+    BusyReply,
     Envelope,
     Pull,
     decode_reply,
     encode,
 )
 from verbenamill_mesh.ring import rank
-from verbenamill_mesh.testing import EPOCH, LogView, MemoryLog, wait_until
+from verbenamill_mesh.testing import EPOCH, LogConnection, MemoryLog, wait_until
 from verbenamill_model import Entry
 from verbenamill_model.traffic import Upstream
 from verbenamill_runtime import LogPage, TrioClock
+from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 
 WITHIN_3_S = timedelta(seconds=3)
 WITHIN_10_S = timedelta(seconds=10)
@@ -183,7 +183,7 @@
     """
 
     async def scenario(fleet):
-        logs = {'b': LogView(fleet.log)}
+        logs = {'b': LogConnection(fleet.log)}
         await start_two_zones(fleet, logs=logs)
         logs['b'].is_down = True
         await trio.sleep(10)
@@ -200,7 +200,7 @@
     """
 
     async def scenario(fleet):
-        logs = {'b': LogView(fleet.log)}
+        logs = {'b': LogConnection(fleet.log)}
         await start_two_zones(fleet, size=16, logs=logs)
         logs['b'].is_down = True
         await trio.sleep(10)
@@ -214,7 +214,7 @@
 
 def test_the_log_goes_down_after_one_reader_has_the_change(run_fleet):
     async def scenario(fleet):
-        logs = {zone: LogView(fleet.log) for zone in 'ab'}
+        logs = {zone: LogConnection(fleet.log) for zone in 'ab'}
         await start_two_zones(fleet, logs=logs)
         logs['b'].is_down = True
         offset = fleet.publish()
@@ -236,7 +236,7 @@
     """
 
     async def scenario(fleet):
-        logs = {'b': LogView(fleet.log)}
+        logs = {'b': LogConnection(fleet.log)}
         await start_two_zones(fleet, logs=logs)
         first = fleet.publish()
         await wait_until(lambda: fleet.all_at(first))
@@ -292,7 +292,7 @@
     """
 
     async def scenario(fleet):
-        views = {f'a-{place}': LogView(fleet.log) for place in range(16)}
+        views = {f'a-{place}': LogConnection(fleet.log) for place in range(16)}
         for name, view in views.items():
             await fleet.start(name, zone='a', seeds=('a-0',), log=view)
         await wait_until(lambda: fleet.all_know(16))
@@ -431,7 +431,7 @@
     """The log forgets what a daemon had not read, while it was cut off."""
 
     async def scenario(fleet):
-        view = LogView(fleet.log)
+        view = LogConnection(fleet.log)
         alone = await fleet.start('a-0', zone='a', seeds=(), log=view)
         await wait_until(lambda: alone.mesh.ready)
         view.is_down = True
@@ -442,7 +442,7 @@
         await wait_until(lambda: not alone.mesh.ready)
         assert alone.offset == -1
 
-    run_fleet(scenario, log=MemoryLog(kept=10))
+    run_fleet(scenario, log=MemoryLog(max_records=10))
 
 
 def test_islands_find_each_other(run_fleet):
@@ -515,7 +515,7 @@
         await wait_until(lambda: fresh.mesh.ready)
         assert fresh.configuration.head() == before
 
-    run_fleet(scenario, log=MemoryLog(kept=40))
+    run_fleet(scenario, log=MemoryLog(max_records=40))
 
 
 def test_checkpoints_stay_fresh_while_nothing_changes(run_fleet):
@@ -551,7 +551,7 @@
         assert alone.offset == -1
         assert not alone.mesh.ready
 
-    run_fleet(scenario, log=MemoryLog(kept=10))
+    run_fleet(scenario, log=MemoryLog(max_records=10))
 
 
 def test_a_paused_writer_leaves_an_old_checkpoint(run_fleet):
@@ -576,7 +576,7 @@
         await wait_until(lambda: fresh.mesh.ready)
         assert fresh.offset == offset
 
-    run_fleet(scenario, log=MemoryLog(kept=20))
+    run_fleet(scenario, log=MemoryLog(max_records=20))
 
 
 def msgspec_record(configuration):
@@ -666,7 +666,7 @@
         replies = [
             decode_reply((await link.request(body)).unwrap()) for _ in range(30)
         ]
-        refused = [reply for reply in replies if isinstance(reply, Busy)]
+        refused = [reply for reply in replies if isinstance(reply, BusyReply)]
         assert 20 <= len(refused) < 30
         assert {reply.address for reply in refused} == {'a-1', 'a-2'}
 
@@ -686,17 +686,17 @@
     entries = tuple(
         Entry(offset=place, at=EPOCH, body=b'broken') for place in range(4)
     )
-    assert not configuration.take(entries[1:])
+    assert not configuration.apply_records(entries[1:])
     assert configuration.state.offset == -1
-    assert configuration.take(entries[:2])
+    assert configuration.apply_records(entries[:2])
     old = configuration.checkpoint()
-    assert configuration.take(entries[::-1])
-    assert configuration.take(entries[:1])
+    assert configuration.apply_records(entries[::-1])
+    assert configuration.apply_records(entries[:1])
     assert configuration.restore(old).unwrap().offset == 3
     assert configuration.state.offset == 3
-    assert configuration.tail(1, 10) == entries[2:]
+    assert configuration.records_after(1, 10) == entries[2:]
     assert isinstance(configuration.restore(old[:-5]), Failure)
     fresh = Configuration()
     fresh.restore(configuration.checkpoint())
     assert fresh.head() == configuration.head()
-    assert fresh.tail(1, 10) is None
+    assert fresh.records_after(1, 10) is None
--- a/libs/mesh/tests/test_mesh.py
+++ b/libs/mesh/tests/test_mesh.py
@@ -5,10 +5,10 @@
 import trio
 
 from verbenamill_mesh import Configuration, Mesh
-from verbenamill_runtime.streams import CONFIG_STREAM
 from verbenamill_mesh.testing import MemoryLog, wait_until
 from verbenamill_model.traffic import Member, Upstream
 from verbenamill_runtime import SystemClock
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 
 async def start_zones(fleet, *, zones=('a', 'b'), size=4):
--- a/libs/mesh/tests/test_parts.py
+++ b/libs/mesh/tests/test_parts.py
@@ -13,8 +13,12 @@
 from verbenamill_mesh import MeshSettings, MeshStats
 from verbenamill_mesh.links import Links
 from verbenamill_mesh.members import MemberRecord, Members, MemberStatus
-from verbenamill_mesh.messages import Done, Note, encode
-from verbenamill_mesh.ring import RING, Arc, neighbours, position_of, split
+from verbenamill_mesh.messages import (
+    Acknowledgement,
+    ApplicationMessage,
+    encode,
+)
+from verbenamill_mesh.ring import RING_SIZE, Arc, neighbours, position_of, split
 from verbenamill_mesh.store import Store, Update
 from verbenamill_mesh.testing import MemoryNetwork
 from verbenamill_model.traffic import Member
@@ -43,7 +47,7 @@
     network = MemoryNetwork(Random(1))
     stats = MeshStats()
     links = Links(
-        own='vm-1',
+        own_id='vm-1',
         availability_zone='a',
         transport=network.transport('vm-1'),
         settings=MeshSettings(),
@@ -52,20 +56,26 @@
     )
 
     async def answer(body):
-        return encode(Done())
+        return encode(Acknowledgement())
 
     async def main():
         network.listen('vm-2', answer)
         async with trio.open_nursery() as nursery:
             await nursery.start(links.run)
-            assert await links.ask('vm-2', Note('k', b'')) == Success(Done())
+            assert await links.send_request(
+                'vm-2', ApplicationMessage('k', b'')
+            ) == Success(Acknowledgement())
             network.silence_links()
             before = trio.current_time()
-            assert await links.ask('vm-2', Note('k', b'')) == Success(Done())
+            assert await links.send_request(
+                'vm-2', ApplicationMessage('k', b'')
+            ) == Success(Acknowledgement())
             assert trio.current_time() - before < 1
             assert stats.links_replaced == 1
             network.close('vm-2')
-            reply = await links.ask('vm-2', Note('k', b''))
+            reply = await links.send_request(
+                'vm-2', ApplicationMessage('k', b'')
+            )
             assert isinstance(reply, Failure)
             nursery.cancel_scope.cancel()
 
@@ -80,16 +90,16 @@
     """
     network = MemoryNetwork(Random(1), delay=timedelta(0))
     links = Links(
-        own='vm-1',
+        own_id='vm-1',
         availability_zone='a',
         transport=network.transport('vm-1'),
-        settings=MeshSettings(idle_link=timedelta(seconds=1)),
+        settings=MeshSettings(link_idle_timeout=timedelta(seconds=1)),
         stats=MeshStats(),
         is_cut=lambda _: False,
     )
 
     async def answer(body):
-        return encode(Done())
+        return encode(Acknowledgement())
 
     async def main():
         network.listen('vm-2', answer)
@@ -97,7 +107,9 @@
             await nursery.start(links.run)
             for _ in range(50):
                 with trio.move_on_after(10) as scope:
-                    await links.ask('vm-2', Note('k', b''))
+                    await links.send_request(
+                        'vm-2', ApplicationMessage('k', b'')
+                    )
                 assert not scope.cancelled_caught
                 await trio.sleep(1)
             nursery.cancel_scope.cancel()
@@ -113,14 +125,16 @@
     """
     members = Members(member('vm-1'), Store(), on_refutation_needed=int)
     other = Members(member('vm-2'), Store(), on_refutation_needed=int)
-    alive = other.say()
+    alive = other.update_own_record()
     assert members.merge_update(alive)
-    tombstone = members.judge('vm-2', MemberStatus.DEAD)
+    tombstone = members.declare_status('vm-2', MemberStatus.DEAD)
     assert not members.merge_update(alive), 'what is older does not revive it'
     members.forget('vm-2')
     assert not members.merge_update(tombstone)
     assert members.record('vm-2') is None
-    assert members.merge_update(other.say()), 'a new word of its own does'
+    assert members.merge_update(other.update_own_record()), (
+        'a new word of its own does'
+    )
 
 
 def test_a_dropped_key_is_not_brought_back():
@@ -135,8 +149,8 @@
 
 
 def exchange(own, other):
-    buckets, marks = other.differ(own.buckets())
-    return own.plan(buckets, tuple(marks))
+    buckets, marks = other.find_differing_buckets(own.buckets())
+    return own.plan_exchange(buckets, tuple(marks))
 
 
 keys = st.integers(0, 30).map(str)
@@ -165,7 +179,7 @@
 
 
 @checked
-@given(names, st.integers(1, 5), st.integers(0, RING - 1))
+@given(names, st.integers(1, 5), st.integers(0, RING_SIZE - 1))
 def test_a_tree_reaches_everyone_once(members, arity, start):
     """Each daemon splits the arc it was given; together they cover it."""
     reached = []
@@ -176,7 +190,7 @@
                 reached.append(branch.delegates[0])
                 deliver(branch.arc, branch.delegates[0])
 
-    deliver(Arc(start, RING), 'root')
+    deliver(Arc(start, RING_SIZE), 'root')
     assert sorted(reached) == sorted(members)
 
 
@@ -192,7 +206,7 @@
                 deliver(branch.arc, branch.delegates[0], members)
 
     known = set(sorted(members)[::2])
-    deliver(Arc(0, RING), 'root', known)
+    deliver(Arc(0, RING_SIZE), 'root', known)
     if known:
         assert reached == members
 
@@ -220,24 +234,28 @@
     for old_port, new_port in (('1', '2'), ('2', '1')):
         doubts = []
         before = Members(member('vm-1'), Store(), on_refutation_needed=int)
-        old = before.say(own=replace(member('vm-1'), control=old_port))
+        old = before.update_own_record(
+            own=replace(member('vm-1'), control=old_port)
+        )
         after = Members(
             member('vm-1'), Store(), on_refutation_needed=doubts.append
         )
-        after.say(own=replace(member('vm-1'), control=new_port))
+        after.update_own_record(own=replace(member('vm-1'), control=new_port))
         assert not after.merge_update(old)
         other = Members(member('vm-2'), Store(), on_refutation_needed=int)
         other.merge_update(old)
-        other.merge_update(after.say(above=doubts.pop()))
+        other.merge_update(after.update_own_record(exceeding=doubts.pop()))
         assert other.alive()['vm-1'].control == new_port
 
 
 def test_records_of_one_run_only_get_worse():
     members = Members(member('vm-1'), Store(), on_refutation_needed=int)
     members.merge_update(
-        Members(member('vm-2'), Store(), on_refutation_needed=int).say()
+        Members(
+            member('vm-2'), Store(), on_refutation_needed=int
+        ).update_own_record()
     )
-    assert members.judge('vm-2', MemberStatus.DEAD) is not None
-    assert members.judge('vm-2', MemberStatus.SUSPECT) is None
+    assert members.declare_status('vm-2', MemberStatus.DEAD) is not None
+    assert members.declare_status('vm-2', MemberStatus.SUSPECT) is None
     assert isinstance(members.record('vm-2'), MemberRecord)
     assert members.alive().keys() == {'vm-1'}
--- a/libs/mesh/tests/test_random_run.py
+++ b/libs/mesh/tests/test_random_run.py
@@ -11,10 +11,10 @@
 import pytest
 import trio
 
-from verbenamill_runtime.streams import CONFIG_STREAM
-from verbenamill_mesh.testing import LogView, MemoryLog, wait_until
+from verbenamill_mesh.testing import LogConnection, MemoryLog, wait_until
 from verbenamill_model import State, fold
 from verbenamill_model.traffic import Upstream
+from verbenamill_runtime.streams import CONFIG_STREAM
 
 ZONE_SIZE = 5
 STEPS = 120
@@ -24,7 +24,7 @@
     def __init__(self, fleet, seed):
         self.fleet = fleet
         self.random = Random(seed)
-        self.views = {zone: LogView(fleet.log) for zone in 'ab'}
+        self.views = {zone: LogConnection(fleet.log) for zone in 'ab'}
         self.lost = 0
         self.parted = False
         self.deaf = set()
@@ -224,4 +224,4 @@
             await run.settle()
             nursery.cancel_scope.cancel()
 
-    run_fleet(scenario, seed=seed, log=MemoryLog(kept=60))
+    run_fleet(scenario, seed=seed, log=MemoryLog(max_records=60))
