--- a/libs/mesh/src/verbenamill_mesh/broadcast.py
+++ b/libs/mesh/src/verbenamill_mesh/broadcast.py
@@ -1,8 +1,8 @@
 """Broadcasts: pushes along a tree of bounded arity over the ring.
 
-A daemon divides the arc it is given among a few children, who do the same.
-A child that does not answer is replaced by the next on its arc. What is
-lost all the same, the digests mend.
+A daemon divides the arc it is given among a few children, which do the same. A
+child that does not answer is replaced by the next member on its arc. Whatever
+is lost despite this is found by comparing digests.
 """
 
 from collections.abc import Callable
@@ -22,16 +22,16 @@
 
 #: Delegates tried before a branch is left to the digests.
 MAX_DELEGATES_TRIED = 4
-#: Neighbours that are told of news which did not come by the tree.
+#: Neighbours that receive updates which did not arrive by the tree.
 RUMOUR_FANOUT = 2
-#: Bytes of records in one push; peers fetch what is longer.
+#: Bytes of records in one push; peers fetch longer sequences.
 MAX_PUSH_BYTES = 128 * 1024
 
 
 class Broadcaster:
-    """Pushes of this daemon, its own and those it passes on.
+    """Sends this daemon's pushes and forwards those of others.
 
-    :param on_newer: told of values that a receiver had newer.
+    :param on_newer: called with values that a receiver had newer.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
                     nursery.start_soon(self._send, push)
 
     async def deliver(self, push: Push) -> None:
-        """Send a push to everyone on its arc and wait for their answers."""
+        """Send a push to all members on its arc and wait for their answers."""
         async with trio.open_nursery() as nursery:
             for arc in push.arc.without(self._position):
                 zone_peers = self._peers.zone_peers()
@@ -70,41 +70,43 @@
                     nursery.start_soon(self._send_branch, branch, push)
 
     def forward(self, push: Push) -> None:
-        """Pass on to the rest of the arc that was given to this daemon."""
+        """Forward a push to the rest of the arc given to this daemon."""
         self._rumour_bucket.try_take()
         self._enqueue(push)
 
     def broadcast(self, updates: tuple[Update, ...]) -> None:
-        """Tell everyone, in this availability zone and the others."""
+        """Send updates to all members, in every availability zone."""
         self._enqueue(Push(updates=updates, arc=WHOLE_RING))
 
     def broadcast_within_budget(self, updates: tuple[Update, ...]) -> None:
-        """Tell everyone if there is little other news.
+        """Send updates to all members, unless the budget is used up.
 
-        When half an availability zone dies or returns, each of many daemons
-        would tell all the others; the digests carry it then, together.
+        When half an availability zone fails or returns, each of many daemons
+        would broadcast to all the others. The digests then carry the updates
+        together.
         """
         if self._rumour_bucket.try_take():
             self.broadcast(updates)
 
     async def deliver_to_all_zones(self, updates: tuple[Update, ...]) -> None:
-        """Tell everyone and wait for the answers of those told first."""
+        """Broadcast updates and wait until the direct receivers answered."""
         push = Push(updates=updates, arc=WHOLE_RING)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.deliver, push)
             nursery.start_soon(self._send_to_other_zones, push)
 
     def push_to_zone(self, entries: tuple[Entry, ...]) -> None:
-        """Tell the availability zone of records of the log."""
+        """Push records of the log to the own availability zone."""
         for group in _group_by_size(entries):
             self._enqueue(Push(entries=group, arc=WHOLE_RING))
 
     def gossip(self, updates: tuple[Update, ...]) -> None:
-        """Tell a few neighbours of news that did not come by the tree.
+        """Send updates that did not arrive by the tree to a few neighbours.
 
-        Each tells a few more to whom it is news, so it is almost everywhere
-        in a few steps. In a herd there is more news than the budget allows;
-        the digests then carry it together, at a cost that stays flat.
+        Each receiver to which they are new sends them to a few more, so they
+        are almost everywhere after a few steps. When many daemons change at
+        once, there are more updates than the budget allows; the digests then
+        carry them together, at a constant cost.
         """
         if updates and self._rumour_bucket.try_take():
             self._enqueue(Push(updates=updates))
@@ -124,8 +126,8 @@
                 and not push.is_cross_zone
                 and self._peers.is_primary
             ):
-                # Any push with an arc passes through the whole zone once,
-                # so exactly its first reader sends it across.
+                # Every push with an arc passes through the whole zone once, so
+                # exactly the primary reader sends it to the other zones.
                 nursery.start_soon(self._send_to_other_zones, push)
 
     async def _send_rumour(self, push: Push) -> None:
--- a/libs/mesh/src/verbenamill_mesh/checkpoints.py
+++ b/libs/mesh/src/verbenamill_mesh/checkpoints.py
@@ -1,9 +1,9 @@
-"""Checkpoints of the state on a stream of the system's own.
+"""Checkpoints of the state on an internal stream of the log.
 
-Records of ``config`` expire, so the state has to stand on the log before
-the oldest record that it needs is gone. A checkpoint says which offset it
-is of; two of them, or one that a paused writer appends late, do no harm,
-since a reader takes the one with the highest offset.
+Records of ``config`` expire, so the state must be on the log before the oldest
+record that it depends on is gone. A checkpoint states its offset. A duplicate,
+or one that a paused writer appends late, does no harm, since readers use the
+checkpoint with the highest offset.
 """
 
 from collections.abc import Callable
@@ -26,16 +26,16 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Newest records looked at; late ones of paused writers may be among them.
+#: Newest records read; late ones of paused writers may be among them.
 NEWEST_RECORDS = 4
-#: Looks per checkpoint interval at whether one is due.
+#: Checks per checkpoint interval whether a checkpoint is due.
 CHECKS_PER_INTERVAL = 6
-#: New records for which one is written before the interval is over.
+#: New records after which a checkpoint may be due before the interval ends.
 MIN_NEW_RECORDS = 16
 
 
 class CheckpointRecord(Struct, frozen=True, array_like=True):
-    """A checkpoint as it stands on the log."""
+    """A checkpoint as it is stored on the log."""
 
     offset: Offset
     body: bytes
@@ -52,8 +52,8 @@
 class Checkpoints:
     """Writes checkpoints when they are due, and reads them.
 
-    :param find_turn: how many others write before this daemon, or ``None``
-        when it does not write.
+    :param get_writer_rank: returns how many other zones write before this
+        daemon, or ``None`` when this daemon does not write.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._oldest_record = Offset(0)
 
     def set_oldest_record(self, oldest: Offset) -> None:
-        """Take note of the first offset that the log still has."""
+        """Set the first offset that the log still has."""
         self._oldest_record = oldest
 
     async def run(self) -> None:
@@ -93,9 +93,9 @@
                 await self._write_if_due()
 
     async def restore(self) -> bool:
-        """Start from the newest checkpoint on the log.
+        """Restore the state from the newest usable checkpoint on the log.
 
-        :returns: whether the configuration moved on.
+        :returns: whether the configuration advanced.
         """
         before = self._configuration.state.offset
         for record in reversed(await self._read()):
@@ -111,8 +111,8 @@
         return self._configuration.state.offset > before
 
     async def _write_if_due(self) -> None:
-        # Another writer, or an append of this one whose answer was lost,
-        # may have been there already; so look before writing.
+        # Another writer may have written one, or an earlier append may have
+        # succeeded although its answer was lost; so read before writing.
         await self._read()
         if not self._is_due():
             return
@@ -144,16 +144,18 @@
         delay_factor = 1 + writer_rank / 4
         age = self._clock.now() - self._newest.at
         if age > delay_factor * self._settings.checkpoint_interval:
-            # Also when nothing changed: checkpoints expire as well.
+            # A checkpoint is due even if nothing changed, since checkpoints
+            # expire too.
             return True
         return self._is_expiring(offset, delay_factor)
 
     def _is_expiring(self, offset: Offset, delay_factor: float) -> bool:
         """Whether the records after the newest checkpoint expire soon.
 
-        Half of what the log keeps is left then, whatever its retention is.
+        True once the checkpoint is older than half of the records on the log,
+        so that the other half is left whatever the retention is.
         """
-        assert self._newest is not None, 'asked before any was read'
+        assert self._newest is not None, 'no checkpoint has been read yet'
         new_records = offset - self._newest.offset
         middle = (self._oldest_record + offset) / 2
         return (
@@ -162,7 +164,7 @@
         )
 
     async def _read(self) -> list[CheckpointRecord]:
-        """Read the newest checkpoints, the best one last."""
+        """Read the newest checkpoints, in the order of their offsets."""
         self._stats.count_log_request(CHECKPOINTS_STREAM)
         outcome = await read_newest_records(
             self._log, CHECKPOINTS_STREAM, NEWEST_RECORDS
@@ -189,6 +191,6 @@
     except msgspec.MsgspecError:
         log(
             Event.CHECKPOINT_REFUSED,
-            reason=f'record {entry.offset} is none',
+            reason=f'record {entry.offset} is not a checkpoint',
         )
         return None
--- a/libs/mesh/src/verbenamill_mesh/configuration.py
+++ b/libs/mesh/src/verbenamill_mesh/configuration.py
@@ -1,4 +1,4 @@
-"""One proxy's configuration: the state folded from the log so far."""
+"""A proxy's configuration: the state folded from the log so far."""
 
 from collections import deque
 from itertools import islice
@@ -20,18 +20,18 @@
 from verbenamill_model.applying import assert_consistent
 from verbenamill_model.typing import Offset
 
-#: Records kept for peers that lag a little; others get a checkpoint.
+#: Records kept for peers that lag slightly; others get a checkpoint.
 MAX_KEPT_RECORDS = 1024
-#: Bytes of records kept, since one record may take 256 KB.
+#: Bytes of records kept, since one record may have 256 KB.
 MAX_KEPT_BYTES = 4 * 1024 * 1024
-#: Longest checkpoint after decompression.
+#: Largest checkpoint after decompression.
 MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 
 
 class ConfigurationHead(Struct, frozen=True, kw_only=True):
-    """Where a configuration stands.
+    """Offset and digest of a configuration's state.
 
-    :param digest: of the state at that offset; equal everywhere.
+    :param digest: of the state at that offset; equal on all daemons.
     """
 
     offset: Offset
@@ -39,9 +39,9 @@
 
 
 class Configuration:
-    """The state of one proxy; swapped whole, and it only grows.
+    """The state of one proxy; replaced as a whole, its offset only grows.
 
-    :param kept: records kept for peers that lag.
+    :param max_kept_records: records kept for peers that lag.
     """
 
     def __init__(self, *, max_kept_records: int = MAX_KEPT_RECORDS) -> None:
@@ -53,12 +53,12 @@
 
     @property
     def state(self) -> State:
-        """The state after the last record."""
+        """The state after the last applied record."""
         return self._state
 
     @property
     def snapshot(self) -> Snapshot:
-        """What the proxy runs."""
+        """The routes and services that the proxy uses."""
         return self._state.snapshot
 
     def head(self) -> ConfigurationHead:
@@ -68,10 +68,10 @@
         )
 
     def apply_records(self, entries: tuple[Entry, ...]) -> bool:
-        """Fold the records that follow the state; known ones are passed.
+        """Apply the records that follow the state; known ones are skipped.
 
-        :returns: ``False`` when a record is missing before one of them;
-            what stands before the gap is folded all the same.
+        :returns: ``False`` when a record is missing before one of them; the
+            records before the gap are applied in any case.
         """
         following = self._find_following(entries)
         if following:
@@ -82,7 +82,7 @@
     def records_after(
         self, after: Offset, limit: int
     ) -> tuple[Entry, ...] | None:
-        """Records that follow an offset, or ``None`` when it is too old."""
+        """Records after an offset, or ``None`` when they are not kept."""
         if after >= self._state.offset:
             return ()
         if not self._entries or self._entries[0].offset > after + 1:
@@ -95,12 +95,12 @@
         return compress(encode_state(self._state))
 
     def restore(self, body: bytes) -> Result[State, str]:
-        """Start from a checkpoint.
+        """Replace the state by a checkpoint.
 
-        One that is older than the state, as a paused writer leaves behind,
-        is passed over and the state stays.
+        A checkpoint that is older than the state, such as one appended late by
+        a paused writer, is ignored.
 
-        :returns: the state in force, or why the checkpoint is of no use.
+        :returns: the state in force, or why the checkpoint is unusable.
         """
         return _decompress(body).bind(decode_state).bind(self._restore_if_newer)
 
@@ -133,18 +133,22 @@
         services = state.snapshot.services
         for route in state.snapshot.routes.values():
             if route.service not in services:
-                return Failure(f'route {route.name} of the checkpoint dangles')
+                return Failure(
+                    f'route {route.name} of the checkpoint has no service'
+                )
         self._replace_state(state)
         self._entries.clear()
         self._entry_bytes = 0
         return Success(state)
 
     def _replace_state(self, state: State) -> None:
-        # The last guard before a proxy would run an older version, whatever
-        # let it come this far: callers would see a finished move undone.
-        assert state.offset > self._state.offset, 'a state never goes back'
+        # Last check before a proxy would use an older version, whatever the
+        # cause: callers would see a finished move undone.
+        assert state.offset > self._state.offset, (
+            'the state offset never decreases'
+        )
         assert state.snapshot.version >= self._state.snapshot.version, (
-            'a proxy never goes back to an older version'
+            'the version of a proxy never decreases'
         )
         assert_consistent(state.snapshot)
         self._state = state
--- a/libs/mesh/src/verbenamill_mesh/failure_detector.py
+++ b/libs/mesh/src/verbenamill_mesh/failure_detector.py
@@ -1,8 +1,8 @@
 """Failure detection in the style of SWIM.
 
-Each daemon probes few neighbours of its availability zone in turn; one that
-does not answer is probed through others, then suspected, and counts as dead
-unless it refutes that in time.
+Each daemon probes a few neighbours of its availability zone in turn. A
+neighbour that does not answer is probed through others, then suspected, and
+counts as dead unless it refutes the suspicion in time.
 """
 
 from collections.abc import Awaitable, Callable
@@ -23,13 +23,13 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Others that are asked to probe a neighbour that does not answer.
+#: Neighbours asked to probe a member that does not answer.
 INDIRECT_PROBES = 3
-#: Probes between two tries to reach someone thought dead, or a seed.
+#: Probe periods between two attempts to reach a dead member or a seed.
 RECONNECT_PERIODS = 5
-#: A loop that comes this many periods late was paused itself.
+#: A loop that runs this many periods late shows that the process was paused.
 PAUSED_PERIODS = 3
-#: Own misses in a row beyond which suspicion grows no further.
+#: Consecutive missed probes that still lengthen the suspicion timeout.
 MAX_MISSED_PROBES = 4
 
 #: Looks up addresses of other daemons.
@@ -37,11 +37,12 @@
 
 
 class FailureDetector:
-    """Probes of this daemon.
+    """Probes other daemons and detects which of them fail.
 
-    :param seeds: addresses known from the settings; only hints.
-    :param find_addresses: looks up addresses when none of them answers.
-    :param spread: spreads what was found out about a member.
+    :param seeds: addresses from the settings; they may be out of date.
+    :param find_addresses: looks up addresses when no seed answers.
+    :param on_status_change: called with the update when a member becomes
+        suspect or dead.
     """
 
     def __init__(
@@ -119,7 +120,7 @@
         )
 
     async def _probe_indirectly(self, target: VmId) -> bool:
-        """Ask others, since only the link from here may be broken."""
+        """Ask neighbours to probe, since only the own link may be broken."""
         record = self._members.record(target)
         if record is None:
             return True
@@ -149,14 +150,14 @@
             self._on_status_change(update)
 
     async def _run_expiry(self) -> None:
-        """Declare suspects dead and forget those long dead."""
+        """Declare suspects dead and remove expired tombstones."""
         last = self._clock.monotonic()
         while True:
             await self._wait_period()
             now = self._clock.monotonic()
             if now - last > PAUSED_PERIODS * self._settings.probe_period:
-                # This process was paused: suspects had no chance to refute
-                # to it, and their time would seem to be over.
+                # This process was paused. Refutations could not reach it
+                # meanwhile, so the suspicion timeouts start again.
                 self._suspected_since = dict.fromkeys(
                     self._suspected_since, now
                 )
@@ -165,8 +166,8 @@
             self._expire_tombstones(now)
 
     def _expire_suspects(self, now: timedelta) -> None:
-        # A daemon whose own probes fail may be the broken one; it gives
-        # others more time to refute it.
+        # When several own probes have failed, this daemon itself may be the
+        # faulty one; it then gives others more time to refute the suspicion.
         allowed = self._settings.suspicion_timeout * (1 + self._missed_probes)
         for member, since in tuple(self._suspected_since.items()):
             record = self._members.record(member)
@@ -195,7 +196,7 @@
         }
 
     async def _probe_other_zones(self) -> None:
-        """As a gateway, meet those of other availability zones in turn."""
+        """As a gateway, probe gateways of the other availability zones."""
         while True:
             await self._wait_period()
             if not self._peers.is_reader:
@@ -207,7 +208,7 @@
                 await self._probe_member(self._random.choice(gateways))
 
     async def _reconnect(self) -> None:
-        """Find the first peer, and those on the far side of a partition."""
+        """Find the first peer, and members beyond a healed partition."""
         await trio.sleep(
             self._settings.probe_period.total_seconds() * self._random.random(),
         )
@@ -221,7 +222,7 @@
             await self._try_random_address(self._list_candidates())
 
     async def _find_first_peer(self) -> None:
-        """Find any peer while there is none."""
+        """Try addresses until at least one peer is known."""
         started = self._clock.monotonic()
         waits = full_jitter(
             self._random,
--- a/libs/mesh/src/verbenamill_mesh/gateway_directory.py
+++ b/libs/mesh/src/verbenamill_mesh/gateway_directory.py
@@ -1,8 +1,8 @@
-"""Addresses of daemons on a stream of the system's own.
+"""Addresses of daemons on an internal stream of the log.
 
-Seeds in the settings age: every daemon they name may be replaced. Each
-availability zone keeps fresh addresses on the log, and a daemon that finds
-no peer looks there.
+Seeds in the settings become stale, since every daemon they name may be
+replaced. Each availability zone keeps current addresses on the log, and a
+daemon that finds no peer reads them there.
 """
 
 from random import Random
@@ -25,16 +25,16 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Newest records looked at: each availability zone writes one an interval.
+#: Newest records read; each availability zone writes one per interval.
 NEWEST_RECORDS = 64
-#: Unknown addresses tried an interval; most are of daemons long replaced.
+#: Unknown addresses probed per interval; most are of replaced daemons.
 MAX_PROBED_ADDRESSES = 5
 #: Addresses in one record.
 MAX_ADDRESSES = 5
 
 
 class GatewaysRecord(Struct, frozen=True):
-    """Where an availability zone is reached."""
+    """Addresses at which an availability zone is reached."""
 
     availability_zone: AvailabilityZone
     addresses: tuple[str, ...]
@@ -44,7 +44,7 @@
 
 
 class GatewayDirectory:
-    """Writes the addresses of the own availability zone and reads others."""
+    """Writes addresses of the own availability zone and reads all zones'."""
 
     def __init__(
         self,
@@ -66,9 +66,9 @@
         self._stats = stats
 
     async def run(self) -> None:
-        """Write addresses, and meet unknown zones, until cancelled."""
+        """Write addresses and probe unknown ones, until cancelled."""
         interval = self._settings.gateways_interval.total_seconds()
-        # The first record of a new mesh comes early, since daemons with
+        # The first record of a new mesh is written early, because daemons with
         # stale seeds wait for it.
         pause = min(interval, self._settings.isolation_timeout.total_seconds())
         while True:
@@ -79,7 +79,7 @@
                 pause = interval
 
     async def find_addresses(self) -> tuple[str, ...]:
-        """Addresses that were written lately, in no order."""
+        """Recently written addresses, without duplicates."""
         records = await self._read_records()
         found = (address for record in records for address in record.addresses)
         return tuple(dict.fromkeys(found))
@@ -100,15 +100,16 @@
             msgspec.json.encode(record),
         )
         if isinstance(outcome, Failure):
-            # A record that stands twice, or an interval late, does no harm.
+            # A record that is written twice, or one interval late, does no
+            # harm.
             log(Event.LOG_UNAVAILABLE, detail=outcome.failure().detail)
 
     async def _probe_unknown_addresses(self) -> None:
-        """Meet daemons that no seed and no peer has told of.
+        """Probe recorded addresses that no seed or peer has provided.
 
-        Daemons that started while an availability zone was cut in two find
-        each other, but not those on the far side, and none of the seeds is
-        left. Without this, both would live on as islands for ever.
+        Daemons started while an availability zone was partitioned find each
+        other, but not those on the other side if none of the seeds is left.
+        Without these probes the two groups would never join.
         """
         alive = self._members.alive().values()
         known_addresses = {member.control for member in alive}
--- a/libs/mesh/src/verbenamill_mesh/links.py
+++ b/libs/mesh/src/verbenamill_mesh/links.py
@@ -1,4 +1,4 @@
-"""Links to other daemons: one task, one queue and one connection a peer."""
+"""Links to other daemons: one task, queue and connection per peer."""
 
 from collections.abc import AsyncIterator, Callable
 from datetime import timedelta
@@ -21,12 +21,12 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Requests that wait for one peer; more are given up.
+#: Requests queued for one peer; further ones fail immediately.
 MAX_QUEUED_REQUESTS = 64
 
 
 class _PendingRequest:
-    """One request that waits for its answer."""
+    """A request that waits for its answer."""
 
     def __init__(self, kind: str, body: bytes, timeout: timedelta) -> None:
         self.kind = kind
@@ -85,9 +85,9 @@
     ) -> Result[Reply, str]:
         """Send a request over the peer's link and wait for the answer.
 
-        :param timeout: for one try; the request timeout unless given.
-        :returns: the answer, or why there is none; the peer may have
-            handled the request all the same.
+        :param timeout: for each attempt; defaults to the request timeout.
+        :returns: the answer, or why there is none; the peer may have handled
+            the request even without an answer.
         """
         envelope = Envelope(self._own_id, self._availability_zone, request)
         pending = _PendingRequest(
@@ -96,12 +96,12 @@
             timeout or self._settings.request_timeout,
         )
         if self._nursery is None:
-            return Failure('this daemon does not run')
+            return Failure('this daemon is not running')
         try:
             self._queue_of(address, self._nursery).send_nowait(pending)
         except (trio.WouldBlock, trio.BrokenResourceError):
             self._stats.requests_dropped += 1
-            return Failure('too many requests wait for this peer')
+            return Failure('too many requests are queued for this peer')
         await pending.done.wait()
         return pending.reply
 
@@ -143,7 +143,7 @@
         self,
         requests: trio.MemoryReceiveChannel[_PendingRequest],
     ) -> AsyncIterator[_PendingRequest]:
-        """Jobs in order, until none has come for long."""
+        """Yield requests in order, until the link has been idle too long."""
         idle = self._settings.link_idle_timeout.total_seconds()
         while True:
             pending: _PendingRequest | None = None
@@ -160,12 +160,12 @@
         link: Link | None,
         pending: _PendingRequest,
     ) -> Link | None:
-        """Send one request, on a new link when the old one is silent.
+        """Send one request, on a new link if the old one gets no answer.
 
-        Something between two daemons can lose track of an open connection:
-        requests on it then vanish for good while new connections work. So
-        one silence ends the link, and the request gets a second try on a
-        new one before the peer is called unreachable.
+        A device between two daemons can lose track of an open connection: all
+        requests on it are then lost, while new connections work. So the first
+        timeout closes the link, and the request is retried once on a new link
+        before the peer counts as unreachable.
         """
         worked_before = link is not None
         is_silent = False
@@ -207,7 +207,7 @@
     def _decode_answer(self, body: bytes) -> Result[Reply, str]:
         reply = decode_reply(body)
         if reply is None:
-            return Failure('the answer cannot be read')
+            return Failure('the answer cannot be decoded')
         self._stats.count_received(kind_of(reply), len(body))
         return Success(reply)
 
@@ -215,10 +215,11 @@
 def _receive_queued(
     requests: trio.MemoryReceiveChannel[_PendingRequest],
 ) -> _PendingRequest | None:
-    """Take a job that was queued while the wait for one was given up.
+    """Receive a request that was queued as the wait for it timed out.
 
-    Between the deadline and this task's turn others may run. What they
-    queued then would never be done, and who asked would wait for ever.
+    Other tasks may run between the deadline and the end of this task. A
+    request that they queue in that interval would never be sent, and its
+    sender would wait for ever.
     """
     try:
         return requests.receive_nowait()
--- a/libs/mesh/src/verbenamill_mesh/log_reader.py
+++ b/libs/mesh/src/verbenamill_mesh/log_reader.py
@@ -1,8 +1,8 @@
 """Reading the log for an availability zone.
 
-Two daemons of the zone read. The first pushes what it reads at once; the
-second only what has not come to it within a short delay, so a first reader
-that is paused or cut off costs that delay and no more.
+Two daemons of the zone read. The primary reader pushes what it reads at once.
+The second pushes only what it has not received within a short delay, so a
+primary that is paused or cut off costs no more than that delay.
 """
 
 from collections.abc import Callable
@@ -24,17 +24,17 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Bounds of the waits between tries while the log fails.
+#: Bounds of the waits between attempts while the log fails.
 FIRST_RETRY_WAIT = timedelta(milliseconds=200)
 LONGEST_RETRY_WAIT = timedelta(seconds=5)
-#: Wait between looks at whether this daemon is a reader now.
+#: Interval at which a daemon checks whether it is a reader.
 ROLE_CHECK_INTERVAL = timedelta(milliseconds=500)
 
 
 class LogReader:
     """Reads the stream ``config`` while this daemon is a reader.
 
-    :param on_entries: takes records that were news to this daemon.
+    :param on_entries: called with records that were new to this daemon.
     """
 
     def __init__(
@@ -88,10 +88,13 @@
                 await trio.sleep(next(waits).total_seconds())
 
     async def _read_page(self) -> bool:
-        """Read once; whether that went well."""
+        """Read one page.
+
+        :returns: whether the read succeeded.
+        """
         self._stats.count_log_request(CONFIG_STREAM)
-        # Held open by a quiet log, the first read would keep a daemon that
-        # has caught up from saying so for a whole long poll.
+        # The first read does not wait: a log without new records would delay
+        # readiness by a whole long poll, although the daemon has caught up.
         is_ready = self._stats.ready
         outcome = await self._log.read(
             CONFIG_STREAM,
@@ -125,7 +128,7 @@
             entry for entry in page.entries if entry.offset > offset
         )
         if not self._configuration.apply_records(new_entries):
-            # Records vanished, and none may be skipped: a proxy would run
+            # Records are missing, and none may be skipped: the proxy would use
             # a state that no other reader of the log reaches.
             self._stats.gaps += 1
             log(Event.LOG_GAP, offset=offset)
@@ -149,8 +152,9 @@
             return False
         if await self._checkpoints.restore():
             return True
-        # Neither a checkpoint nor the records: a peer may still have them.
-        # Until then this daemon serves what it has and is not ready.
+        # Neither a checkpoint nor the records are left on the log, but a peer
+        # may still have them. Until one is found, this daemon serves the state
+        # that it has and is not ready.
         self._stats.ready = False
         log(
             Event.LOG_EXPIRED,
--- a/libs/mesh/src/verbenamill_mesh/members.py
+++ b/libs/mesh/src/verbenamill_mesh/members.py
@@ -1,4 +1,4 @@
-"""The table of members: who is alive, suspect, dead or has left."""
+"""The table of members: which are alive, suspect, dead or have left."""
 
 from collections.abc import Callable
 from enum import IntEnum, unique
@@ -13,13 +13,13 @@
 from verbenamill_model.typing import AvailabilityZone, VmId
 
 MEMBERS_TOPIC = 'members'
-#: Readers of an availability zone: one, and one in its stead.
+#: Readers of each availability zone: the primary and one substitute.
 READERS_PER_ZONE = 2
 
 
 @unique
 class MemberStatus(IntEnum):
-    """What is known of a member; the higher one wins within a run."""
+    """What is known of a member; within one incarnation the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,8 +30,8 @@
 class MemberRecord(Struct, frozen=True, array_like=True):
     """A member and what is known of it.
 
-    :param incarnation: only the member itself raises it, to refute what
-        others say of it.
+    :param incarnation: only the member itself raises it, to refute what others
+        state about it.
     """
 
     incarnation: int
@@ -40,12 +40,12 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether it counts as alive; a suspect does until it is dead."""
+        """Whether the member counts as alive, as a suspect still does."""
         return self.status <= MemberStatus.SUSPECT
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Order in which records of one member replace each other."""
+        """The order in which records of one member replace each other."""
         return self.incarnation, self.status
 
 
@@ -54,7 +54,7 @@
 
 
 def merge_records(old: bytes | None, new: bytes) -> bytes:
-    """Keep the record that comes later; ties go by content."""
+    """Keep the record with the higher precedence; ties go by content."""
     if old is None:
         return new
     current = _decoder.decode(old)
@@ -64,10 +64,10 @@
 
 
 def is_in_digest(value: bytes) -> bool:
-    """Leave tombstones out of the digests, so that they can expire.
+    """Exclude tombstones from the digests, so that they can expire.
 
-    They expire at different times on different daemons, and a digest over
-    them would differ for as long, though nothing needs mending.
+    They expire at different times on different daemons. Digests over them
+    would differ in the meantime, although there is nothing to synchronise.
     """
     return _decoder.decode(value).is_alive
 
@@ -75,8 +75,8 @@
 class Members:
     """Members by id, kept in the store's topic ``members``.
 
-    :param on_own_doubt: called with an incarnation to pass, when others
-        hold something about this daemon that it did not say.
+    :param on_refutation_needed: called with the incarnation to exceed, when
+        others hold a record of this daemon that it did not write.
     """
 
     def __init__(
@@ -115,10 +115,11 @@
         exceeding: int = -1,
         leaving: bool = False,
     ) -> Update:
-        """State a change of this daemon under a higher incarnation.
+        """Write a new record of this daemon under a higher incarnation.
 
-        :param above: an incarnation that others hold.
-        :returns: the update to spread.
+        :param exceeding: an incarnation that others hold.
+        :param leaving: whether this daemon leaves the mesh.
+        :returns: the update to broadcast.
         """
         incarnation = max(self._own.incarnation, exceeding) + 1
         self._own = replace(own or self._own, incarnation=incarnation)
@@ -126,11 +127,13 @@
         status = MemberStatus.LEFT if self._has_left else MemberStatus.ALIVE
         record = MemberRecord(incarnation, status, self._own)
         update = _as_update(record)
-        assert self._apply_record(update, record), 'a higher incarnation wins'
+        assert self._apply_record(update, record), (
+            'a higher incarnation takes precedence'
+        )
         return update
 
     def merge_update(self, update: Update) -> bool:
-        """Merge what is told of a member.
+        """Merge a received record of a member.
 
         :returns: whether it changed the table.
         """
@@ -138,8 +141,9 @@
         member = received.member.id
         current = self._records.get(member)
         if current is None and not received.is_alive:
-            # A tombstone of someone unknown needs no spreading, and taking
-            # it would bring expired ones back for ever.
+            # The tombstone of an unknown member needs no dissemination, and
+            # daemons that accepted it would pass expired tombstones on to each
+            # other for ever.
             return False
         if member == self._own.id and self._contradicts_own_record(
             update, received
@@ -149,7 +153,7 @@
         return self._apply_record(update, received)
 
     def alive(self) -> dict[VmId, Member]:
-        """Members that are alive; not to be altered, replaced on change."""
+        """Members that are alive; do not modify, replaced on each change."""
         if self._alive is None:
             self._alive = {}
             for found in self._alive_by_zone.values():
@@ -161,13 +165,13 @@
         return self._alive_by_zone.get(zone, {})
 
     def zones(self) -> tuple[AvailabilityZone, ...]:
-        """Availability zones with members alive."""
+        """Availability zones with at least one member alive."""
         return tuple(
             zone for zone, found in self._alive_by_zone.items() if found
         )
 
     def readers(self, zone: AvailabilityZone) -> tuple[VmId, ...]:
-        """Those who read the log for an availability zone, first one first.
+        """Members that read the log for an availability zone, by rank.
 
         They are also its gateways to the other availability zones.
         """
@@ -177,11 +181,11 @@
         return self._readers_by_zone[zone]
 
     def record(self, member: VmId) -> MemberRecord | None:
-        """What is known of a member."""
+        """The record of a member, or ``None`` when it is unknown."""
         return self._records.get(member)
 
     def tombstones(self) -> tuple[MemberRecord, ...]:
-        """Members that died or left, as long as they are remembered."""
+        """Records of members that died or left and have not expired."""
         return tuple(self._tombstones.values())
 
     def is_tombstone(self, member: VmId) -> bool:
@@ -191,9 +195,9 @@
     def declare_status(
         self, member: VmId, status: MemberStatus
     ) -> Update | None:
-        """State that a member is suspect or dead.
+        """Record that a member is suspect or dead.
 
-        :returns: the update to spread, if that is news.
+        :returns: the update to broadcast, if that changed the table.
         """
         current = self._records.get(member)
         if current is None or current.status >= status:
@@ -214,7 +218,7 @@
         member = received.member.id
         current = self._records.get(member)
         assert current is None or received.precedence >= current.precedence, (
-            f'record of {member} went back'
+            f'the record of {member} went back to a lower precedence'
         )
         self._records[member] = received
         if current is not None:
@@ -228,9 +232,9 @@
         own = self._records.get(self._own.id)
         if own is None or received.precedence < own.precedence:
             return False
-        # An earlier run of this daemon may have used the same incarnation.
-        # By content alone the older record, with its old address, could
-        # win, and callers would be sent where nobody listens.
+        # An earlier run of this daemon may have used the same incarnation. If
+        # content alone decided, the older record with its old address could
+        # win, and callers would be sent to an address where nothing listens.
         return update.value != self._store.entries(MEMBERS_TOPIC)[self._own.id]
 
     def _remove_from_zone(self, member: Member) -> None:
--- a/libs/mesh/src/verbenamill_mesh/mesh.py
+++ b/libs/mesh/src/verbenamill_mesh/mesh.py
@@ -1,4 +1,4 @@
-"""The mesh of daemons: one object that joins its parts."""
+"""The mesh of daemons, which connects the components of this package."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -30,21 +30,20 @@
 from verbenamill_model.typing import AvailabilityZone, VmId
 from verbenamill_runtime import Clock, Log
 
-#: Longest that a daemon which leaves waits for others to hear of it.
+#: Longest wait of a leaving daemon for the answers of others.
 LEAVE_TIMEOUT = timedelta(seconds=2)
-#: Pause in which records that come together are offered together.
+#: Wait in which consecutive records are combined before zones are probed.
 PROGRESS_BATCH_PERIOD = timedelta(milliseconds=50)
 
 
 class Mesh:
-    """Links with the other daemons, and what spreads over them.
-
-    :param member: this daemon; ``control`` is where it listens.
-    :param seeds: addresses of other daemons; only hints.
-    :param settings: periods and bounds, altered by tests and benches.
-    :param listen: where it differs from ``control`` of the member, which
-        the others are told.
-    :param transport: how daemons reach each other; pynng unless given.
+    """Membership and dissemination of data among daemons.
+
+    :param member: this daemon; other daemons reach it at ``control``.
+    :param seeds: addresses of other daemons; they may be out of date.
+    :param settings: periods and limits, changed by tests and benches.
+    :param listen: the address to listen on, if it differs from ``control``.
+    :param transport: how daemons reach each other; defaults to pynng.
     """
 
     def __init__(
@@ -99,7 +98,7 @@
             callbacks=SyncCallbacks(
                 get_own_member=self._get_own_member,
                 on_updates=self._merge_and_gossip,
-                on_entries=self._apply_fetched_records,
+                on_fetched_entries=self._apply_fetched_records,
             ),
         )
         self._checkpoints = Checkpoints(
@@ -159,9 +158,9 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the configuration is known to be caught up.
+        """Whether the configuration is known to have caught up.
 
-        That is, once, with the log or with a peer that was ready itself.
+        It has been level, at least once, with the log or with a ready peer.
         """
         return self._stats.ready
 
@@ -172,7 +171,7 @@
     ) -> None:
         """Take part in the mesh until cancelled.
 
-        :raises NNGException: when the address cannot be listened at.
+        :raises NNGException: when the listen address cannot be bound.
         """
         async with trio.open_nursery() as nursery:
             await nursery.start(self._links.run)
@@ -192,7 +191,7 @@
             task_status.started()
 
     async def leave(self) -> None:
-        """Tell others that this daemon leaves, and wait for the first."""
+        """Announce that this daemon leaves, and wait for the first answers."""
         update = self._members.update_own_record(leaving=True)
         with trio.move_on_after(LEAVE_TIMEOUT.total_seconds()):
             await self._broadcaster.deliver_to_all_zones((update,))
@@ -205,13 +204,12 @@
     def members(self) -> dict[VmId, Member]:
         """Members that are alive, this daemon included until it leaves.
 
-        :returns: a table that is replaced, not altered, when it changes;
-            do not alter it either.
+        :returns: a table that is replaced on each change; do not modify it.
         """
         return self._members.alive()
 
     def announce_upstream(self, upstream: Upstream | None) -> None:
-        """State the upstream that this daemon owns."""
+        """Announce the upstream that this daemon owns."""
         own = self._members.own_member
         if own.upstream != upstream:
             update = self._members.update_own_record(
@@ -227,7 +225,7 @@
         self._store.add_topic(name, merge)
 
     def put(self, topic: str, key: str, value: bytes) -> None:
-        """Merge a value into a topic and spread it."""
+        """Merge a value into a topic and broadcast it."""
         if self._store.merge(Update(topic, key, value)):
             merged = self._store.entries(topic)[key]
             self._broadcaster.broadcast((Update(topic, key, merged),))
@@ -237,7 +235,7 @@
         return dict(self._store.entries(topic))
 
     def drop(self, topic: str, keep: Callable[[str], bool]) -> None:
-        """Forget the keys of a topic that are not to be kept, for good."""
+        """Permanently remove the keys of a topic that are not to be kept."""
         self._store.drop(topic, keep)
 
     def set_handler(
@@ -245,7 +243,7 @@
         kind: str,
         handler: Callable[[VmId, bytes], None],
     ) -> None:
-        """Set what takes messages of a kind, with their sender."""
+        """Set the handler that gets the sender and body of messages."""
         self._handlers[kind] = handler
 
     def send(self, to: VmId, kind: str, body: bytes) -> None:
@@ -254,7 +252,7 @@
         self._has_outgoing_messages.set()
 
     def set_cut_zones(self, zones: frozenset[AvailabilityZone]) -> None:
-        """Cut this daemon off from availability zones; a test switch."""
+        """Cut this daemon off from availability zones; a switch for tests."""
         self._cut_zones = zones
 
     def stats(self) -> MeshStats:
@@ -268,7 +266,7 @@
         return self._members.own_member
 
     def _refute(self, incarnation: int) -> None:
-        """Answer what others hold of this daemon and is not so."""
+        """Refute a record of this daemon that it did not write."""
         own = self._members.own_member
         if self._members.has_left and incarnation <= own.incarnation:
             return
@@ -279,11 +277,14 @@
         self._broadcaster.broadcast_within_budget((update,))
 
     def _merge_and_gossip(self, updates: tuple[Update, ...]) -> None:
-        """Take values that came by an exchange."""
+        """Merge fetched values and pass on those that were new."""
         self._broadcaster.gossip(self._merge_updates(updates))
 
     def _merge_updates(self, updates: tuple[Update, ...]) -> tuple[Update, ...]:
-        """Merge values; those that were news."""
+        """Merge values.
+
+        :returns: those that were new.
+        """
         return tuple(update for update in updates if self._merge(update))
 
     def _merge(self, update: Update) -> bool:
@@ -292,27 +293,32 @@
         return self._store.merge(update)
 
     def _apply_fetched_records(self, entries: tuple[Entry, ...]) -> None:
-        """Take records that this daemon fetched from another one."""
+        """Apply records that this daemon fetched from another one."""
         before = self._configuration.state.offset
         if not self._configuration.apply_records(entries):
             self._stats.gaps += 1
         new_entries = tuple(entry for entry in entries if entry.offset > before)
         self._stats.count_records('pull', len(new_entries))
         if self._peers.is_reader and self.ready:
-            # The zone may be cut off from the log, and this is how the
-            # others learn at once what came from another zone.
+            # The zone may be cut off from the log; the push gives its other
+            # members the records of another zone at once.
             self._broadcaster.push_to_zone(new_entries)
 
     def _push_read_records(self, entries: tuple[Entry, ...]) -> None:
         """Push records that this daemon read from the log."""
         self._stats.count_records('log', len(entries))
         if self.ready:
-            # While it catches up it pushes nothing: a whole zone that
-            # starts would get its history pushed, and fetches it anyway.
+            # A daemon that is catching up pushes nothing: when a whole zone
+            # starts, all of the history would be pushed, although each daemon
+            # fetches it anyway.
             self._broadcaster.push_to_zone(entries)
 
     def _get_writer_rank(self) -> int | None:
-        """How many other zones write checkpoints before this daemon."""
+        """Rank of this zone among the zones that write checkpoints.
+
+        :returns: how many zones write before it, or ``None`` when this daemon
+            does not write.
+        """
         if not self._peers.is_primary or not self.ready:
             return None
         own = self._members.own_member.availability_zone
@@ -321,9 +327,10 @@
         return ranked.index(VmId(own))
 
     async def _announce_progress(self) -> None:
-        """As the first reader, tell other zones how far this one is.
+        """As the primary reader, probe other zones after each new record.
 
-        Their own readers have it by then, unless they cannot reach the log.
+        The probe tells them this daemon's offset. Their own readers have the
+        records by then, unless they cannot reach the log.
         """
         offset = self._configuration.state.offset
         while True:
--- a/libs/mesh/src/verbenamill_mesh/messages.py
+++ b/libs/mesh/src/verbenamill_mesh/messages.py
@@ -1,6 +1,6 @@
-"""Requests and answers between daemons; the codec is msgspec's MessagePack.
+"""Requests and answers between daemons, encoded as MessagePack by msgspec.
 
-Fields are sent by place, so a new field goes last and has a default.
+Fields are encoded by position, so a new field goes last and has a default.
 """
 
 import msgspec
@@ -11,12 +11,12 @@
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, Offset, VmId
 
-#: A push to one daemon only.
+#: Arc of a push that the receiver does not forward.
 EMPTY_ARC = Arc(0, 0)
 
 
 class StateSummary(Struct, frozen=True, array_like=True):
-    """What a daemon has: compared to find out who lacks something.
+    """Summary of a daemon's state, by which two daemons compare theirs.
 
     :param root: digest over members and topics.
     :param ready: whether its configuration is known to be caught up.
@@ -29,7 +29,7 @@
 
 
 class Probe(Struct, frozen=True, array_like=True, tag='probe'):
-    """Are you there, and do we have the same?
+    """Check that a daemon is alive, and compare states with it.
 
     :param address: where the sender listens.
     """
@@ -45,22 +45,22 @@
 
 
 class Compare(Struct, frozen=True, array_like=True, tag='compare'):
-    """Digests of all buckets of the sender's store."""
+    """Compare the digests of all buckets of the sender's store."""
 
     buckets: bytes
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag='fetch'):
-    """Ask for the values of keys."""
+    """Request the values of keys."""
 
     keys: tuple[bytes, ...]
 
 
 class Push(Struct, frozen=True, array_like=True, tag='push'):
-    """News for the receiver, and for those on its arc.
+    """Records and updates for the receiver and the members on its arc.
 
-    :param crossed: whether it came from another availability zone, so that
-        a gateway does not send it across again.
+    :param is_cross_zone: whether it came from another availability zone, so
+        that a gateway does not send it to other zones again.
     """
 
     entries: tuple[Entry, ...] = ()
@@ -70,13 +70,13 @@
 
 
 class Pull(Struct, frozen=True, array_like=True, tag='pull'):
-    """Ask for the records that follow an offset."""
+    """Request the records that follow an offset."""
 
     after: Offset
 
 
 class ApplicationMessage(Struct, frozen=True, array_like=True, tag='note'):
-    """A message of the application for the receiver alone."""
+    """A message of the application for the receiver only."""
 
     kind: str
     body: bytes
@@ -88,7 +88,7 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """A request and who sends it."""
+    """A request and its sender."""
 
     sender: VmId
     availability_zone: AvailabilityZone
@@ -102,38 +102,38 @@
 
 
 class IndirectProbeReply(Struct, frozen=True, array_like=True, tag='reached'):
-    """Whether a probe for another daemon was answered."""
+    """Whether the probed third daemon answered."""
 
     reached: bool
 
 
 class DifferencesReply(Struct, frozen=True, array_like=True, tag='differences'):
-    """Buckets that differ, and the marks of the keys in them."""
+    """Buckets that differ, and the hashes of the keys and values in them."""
 
     buckets: tuple[int, ...]
     hashes: tuple[KeyValueHash, ...]
 
 
 class ValuesReply(Struct, frozen=True, array_like=True, tag='news'):
-    """Values; after a push, those that are newer than what was pushed."""
+    """Values; after a push, those newer than the pushed ones."""
 
     updates: tuple[Update, ...] = ()
 
 
 class RecordsReply(Struct, frozen=True, array_like=True, tag='tail'):
-    """Records that follow the offset asked for."""
+    """Records that follow the requested offset."""
 
     entries: tuple[Entry, ...]
 
 
 class CheckpointReply(Struct, frozen=True, array_like=True, tag='checkpoint'):
-    """A whole state, since the records asked for are no longer kept."""
+    """The whole state, because the requested records are no longer kept."""
 
     body: bytes
 
 
 class BusyReply(Struct, frozen=True, array_like=True, tag='busy'):
-    """Too many transfers; ask the daemon at this address, if any."""
+    """Too many transfers; the address, if any, names a daemon to ask."""
 
     address: str
 
@@ -164,7 +164,7 @@
 
 
 def decode_envelope(body: bytes) -> Envelope | None:
-    """Decode a request, or ``None`` when it cannot be read."""
+    """Decode a request, or return ``None`` when it is invalid."""
     try:
         return _envelope_decoder.decode(body)
     except msgspec.MsgspecError:
@@ -172,7 +172,7 @@
 
 
 def decode_reply(body: bytes) -> Reply | None:
-    """Decode a reply, or ``None`` when it cannot be read."""
+    """Decode a reply, or return ``None`` when it is invalid."""
     try:
         return _reply_decoder.decode(body)
     except msgspec.MsgspecError:
@@ -180,5 +180,5 @@
 
 
 def kind_of(message: Request | Reply) -> str:
-    """Name under which traffic is counted."""
+    """Name under which a message is counted."""
     return str(message.__struct_config__.tag)
--- a/libs/mesh/src/verbenamill_mesh/newest_records.py
+++ b/libs/mesh/src/verbenamill_mesh/newest_records.py
@@ -12,7 +12,7 @@
     stream: str,
     count: int,
 ) -> Result[tuple[Entry, ...], LogError]:
-    """Read the last records of a stream, however much has expired."""
+    """Read the last records of a stream, even if older ones expired."""
     match await _read_available_page(log, stream):
         case Success(LogPage() as page):
             start = max(page.oldest, page.end - count)
--- a/libs/mesh/src/verbenamill_mesh/peer_sync.py
+++ b/libs/mesh/src/verbenamill_mesh/peer_sync.py
@@ -1,4 +1,4 @@
-"""Exchange with one other daemon: compare, then fetch what is missing."""
+"""Synchronisation with one peer: compare, then fetch what is missing."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -31,31 +31,31 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Rounds of one exchange; the next probe goes on where it ended.
+#: Rounds of one synchronisation; the next probe resumes where it ended.
 MAX_ROUNDS = 64
-#: Keys fetched, or values pushed, at a time.
+#: Keys fetched, or values pushed, in one request.
 MAX_BATCH_KEYS = 128
 
 
-#: Probes the daemon at an address.
+#: Probes the daemon at an address and synchronises with it.
 ProbePeer = Callable[[str], Awaitable[Result[ProbeReply, str]]]
 
 
 class SyncCallbacks(Struct, frozen=True, kw_only=True):
-    """Where what was learned goes, as closures of the mesh.
+    """Callbacks of the mesh for fetched data.
 
-    :param own: this daemon as it is now.
-    :param updates: takes values of members and topics.
-    :param entries: takes records, with the offset before them.
+    :param get_own_member: returns the current record of this daemon.
+    :param on_updates: called with fetched values of members and topics.
+    :param on_fetched_entries: called with fetched records of the log.
     """
 
     get_own_member: Callable[[], Member]
     on_updates: Callable[[tuple[Update, ...]], None]
-    on_entries: Callable[[tuple[Entry, ...]], None]
+    on_fetched_entries: Callable[[tuple[Entry, ...]], None]
 
 
 class PeerSync:
-    """Compares this daemon with others and mends what differs."""
+    """Compares this daemon's state with peers and resolves differences."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         self._is_pulling = False
 
     def summary(self) -> StateSummary:
-        """What this daemon has."""
+        """Summary of this daemon's state, for comparison."""
         head = self._configuration.head()
         return StateSummary(
             offset=head.offset,
@@ -87,9 +87,9 @@
         )
 
     async def probe_and_sync(self, address: str) -> Result[ProbeReply, str]:
-        """Probe another daemon, and mend what differs if it answers.
+        """Probe another daemon, and resolve differences if it answers.
 
-        :returns: its answer, once what this daemon lacked is fetched.
+        :returns: its answer, after what this daemon lacked has been fetched.
         """
         own = self._callbacks.get_own_member()
         probe = Probe(own.control, self.summary())
@@ -100,19 +100,20 @@
                 return Success(probe_reply)
             case Failure(reason):
                 return Failure(str(reason))
-        return Failure('the answer is of another kind')
+        return Failure('the peer sent an unexpected kind of answer')
 
     def compare_summary(self, summary: StateSummary) -> bool:
-        """Compare heads with another daemon.
+        """Compare the configuration heads of a peer and this daemon.
 
-        :returns: whether it has records that this one lacks.
+        :returns: whether the peer has records that this daemon lacks.
         """
         head = self._configuration.head()
         if summary.offset > head.offset:
             return True
         if summary.offset == head.offset and summary.digest != head.digest:
-            # Acceptance is a pure function, so one of the two runs another
-            # program. Neither is stopped: callers would lose both.
+            # Record acceptance is a pure function, so the two daemons run
+            # different programs. Neither is stopped, because callers would
+            # lose both.
             self._stats.digest_clashes += 1
             log(
                 Event.STATE_DIFFERS,
@@ -130,7 +131,10 @@
         *,
         after: timedelta = timedelta(0),
     ) -> None:
-        """Fetch records, or a checkpoint, until there is nothing new."""
+        """Fetch records, or a checkpoint, until the peer has nothing newer.
+
+        :param after: delay before the first request.
+        """
         if self._is_pulling:
             return
         self._is_pulling = True
@@ -141,7 +145,7 @@
             self._is_pulling = False
 
     async def reconcile(self, address: str) -> None:
-        """Make members and topics the same on both sides."""
+        """Make members and topics equal on both sides."""
         if self._is_reconciling:
             return
         self._is_reconciling = True
@@ -172,7 +176,7 @@
             )
             match reply:
                 case Success(RecordsReply(entries=entries)) if entries:
-                    self._callbacks.on_entries(entries)
+                    self._callbacks.on_fetched_entries(entries)
                 case Success(CheckpointReply(body=body)):
                     self._restore(body)
                 case Success(BusyReply(address=other)) if other and redirects:
@@ -190,7 +194,10 @@
                 log(Event.CHECKPOINT_REFUSED, reason=reason)
 
     async def _reconcile_round(self, address: str) -> bool:
-        """Do one round; whether there may be more to do."""
+        """Run one round.
+
+        :returns: whether there may be more differences.
+        """
         reply = await self._links.send_request(
             address,
             Compare(self._store.buckets()),
--- a/libs/mesh/src/verbenamill_mesh/peers.py
+++ b/libs/mesh/src/verbenamill_mesh/peers.py
@@ -1,4 +1,4 @@
-"""Which other daemons this one talks to, and for what."""
+"""Selection of the daemons that this one talks to."""
 
 from datetime import timedelta
 from random import Random
@@ -14,7 +14,7 @@
 
 
 class Peers:
-    """The other daemons, by their part."""
+    """The other daemons, by their role."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether it is the first of the readers."""
+        """Whether this daemon is the primary reader of its zone."""
         return self._own_readers()[:1] == (self.own_member.id,)
 
     async def send_request(
@@ -51,7 +51,7 @@
         """Send a request to a member."""
         record = self._members.record(member)
         if record is None:
-            return Failure(f'{member} is not known')
+            return Failure(f'{member} is not a known member')
         return await self._links.send_request(
             record.member.control,
             request,
@@ -59,16 +59,16 @@
         )
 
     def zone_peers(self) -> tuple[VmId, ...]:
-        """Others in the own availability zone."""
+        """The other members in the own availability zone."""
         zone = self._members.in_zone(self.own_member.availability_zone)
         return tuple(member for member in zone if member != self.own_member.id)
 
     def neighbours(self) -> tuple[VmId, ...]:
-        """The few in the own availability zone that this one probes."""
+        """The few members of the own availability zone to probe."""
         return neighbours(self.own_member.id, self.zone_peers())
 
     def choose_neighbours(self, count: int) -> list[VmId]:
-        """Some of the neighbours, by chance."""
+        """Choose some of the neighbours at random."""
         found = self.neighbours()
         return self._random.sample(found, min(count, len(found)))
 
@@ -78,22 +78,25 @@
         return tuple(zone for zone in self._members.zones() if zone != own)
 
     def gateways(self, zone: AvailabilityZone) -> tuple[VmId, ...]:
-        """Whom to ask in another availability zone, in this order.
+        """Members to contact in another availability zone, in order.
 
-        The last is any member: an availability zone may have replaced its
-        readers while it was cut off, and only the others are still there.
+        The last one is any member: the zone may have replaced its readers
+        while it was cut off, and only other members known here are left.
         """
         found = tuple(self._members.in_zone(zone))
         if not found:
-            # All its members left after the caller had looked, as when the
-            # whole mesh is stopped at once.
+            # All its members left after the caller chose the zone, as happens
+            # when the whole mesh is stopped at once.
             return ()
         readers = self._members.readers(zone)
         random_member = self._random.choice(found)
         return tuple(dict.fromkeys((*readers, random_member)))
 
     def alternative_address(self, excluded: VmId) -> str:
-        """Address of some mate that may help one who was sent away."""
+        """Address of a random peer to which a refused daemon is referred.
+
+        :param excluded: the refused daemon.
+        """
         zone_peers = [peer for peer in self.zone_peers() if peer != excluded]
         if not zone_peers:
             return ''
--- a/libs/mesh/src/verbenamill_mesh/request_handler.py
+++ b/libs/mesh/src/verbenamill_mesh/request_handler.py
@@ -1,4 +1,4 @@
-"""Answers to the requests of other daemons."""
+"""Handling of the requests of other daemons."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -46,17 +46,17 @@
 
 #: Records in one answer.
 MAX_PAGE_RECORDS = 200
-#: Bytes of records after which an answer takes no further one.
+#: Bytes of records in one answer; a single record may exceed it.
 MAX_PAGE_BYTES = 512 * 1024
-#: Fetches of records that wait; the next probe tells of more.
+#: Queued fetches of records; the next probe repeats what is dropped.
 MAX_QUEUED_FETCHES = 16
 
 
 class RequestHandler:
-    """Answers requests, and does what they ask for.
+    """Handles requests of other daemons and answers them.
 
-    :param learn: merges values and returns those that were news.
-    :param handlers: take messages of the application, by kind.
+    :param merge_updates: merges values and returns those that were new.
+    :param handlers: called with messages of the application, by kind.
     :param is_cut: whether a test has cut off an availability zone.
     """
 
@@ -103,16 +103,19 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Fetch what requests told of, until cancelled."""
+        """Run the fetches that requests caused, until cancelled."""
         task_status.started()
         async for address, delay in self._fetch_requests:
             await self._peer_sync.fetch_records(address, after=delay)
 
     async def handle_request(self, body: bytes) -> bytes | None:
-        """Answer a request, or ``None`` when it gets no answer."""
+        """Handle a request.
+
+        :returns: the encoded answer, or ``None`` when there is none.
+        """
         envelope = decode_envelope(body)
         if envelope is None:
-            log(Event.MESSAGE_UNKNOWN, kind='of another codec')
+            log(Event.MESSAGE_UNKNOWN, kind='an invalid envelope')
             return None
         if self._is_cut(envelope.availability_zone):
             return None
@@ -125,7 +128,7 @@
     def dispatch_message(
         self, sender: VmId, message: ApplicationMessage
     ) -> None:
-        """Hand a message to the application."""
+        """Pass a message to the application's handler for its kind."""
         handler = self._handlers.get(message.kind)
         if handler is None:
             log(Event.MESSAGE_UNKNOWN, kind=message.kind)
@@ -156,7 +159,7 @@
 
     def _handle_probe(self, probe: Probe) -> ProbeReply:
         if self._peer_sync.compare_summary(probe.summary):
-            # The own reader is likely to have it in a moment.
+            # This zone's own reader is likely to push the records soon.
             self._queue_fetch(probe.address, self._settings.fetch_delay)
         return ProbeReply(self._peer_sync.summary())
 
@@ -186,7 +189,7 @@
         try:
             self._fetch_queue.send_nowait((address, delay))
         except trio.WouldBlock:
-            # One that waits already fetches the same records.
+            # The queued fetches will get the same records.
             return
 
     def _handle_fetch(self, sender: VmId, keys: tuple[bytes, ...]) -> Reply:
@@ -207,9 +210,9 @@
         return RecordsReply(_limit_page(page))
 
     def _refuse_transfer(self, sender: VmId) -> BusyReply:
-        # A herd that returns asks at once. A queue would make all of them
-        # wait here, with answers that come after their timeouts; others
-        # have the same to give.
+        # Many daemons that restart together ask at the same moment. A queue
+        # would make all of them wait here and answer after their timeouts,
+        # while other peers have the same data.
         self._stats.transfers_refused += 1
         return BusyReply(self._peers.alternative_address(sender))
 
--- a/libs/mesh/src/verbenamill_mesh/ring.py
+++ b/libs/mesh/src/verbenamill_mesh/ring.py
@@ -1,7 +1,7 @@
-"""Places of daemons on a ring, and what follows from them.
+"""Positions of daemons on a hash ring, and the roles derived from them.
 
-Each daemon computes these from its own table of members. Two tables that
-differ give two answers for a while; every use tolerates that.
+Each daemon computes these from its own table of members. While two tables
+differ, so do the results; every use tolerates that.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,12 +12,12 @@
 
 from verbenamill_model.typing import VmId
 
-#: Positions on the ring; below 2**63 so that any codec carries them.
+#: Number of positions; below 2**63 so that any codec can carry them.
 RING_SIZE = 2**60
 
 
 class Arc(Struct, frozen=True, array_like=True):
-    """Part of the ring: ``length`` positions from ``start`` on."""
+    """Part of the ring: ``length`` positions starting at ``start``."""
 
     start: int
     length: int
@@ -31,8 +31,9 @@
         if not self.has(position):
             return (self,)
         if self.length == RING_SIZE:
-            # In one piece: a piece without a member known here would have
-            # nobody to answer for those that are not known.
+            # The rest stays one arc. An arc without a member known to this
+            # daemon would have no delegate, and members unknown to this daemon
+            # on it would not be reached.
             return (Arc((position + 1) % RING_SIZE, RING_SIZE - 1),)
         before = (position - self.start) % RING_SIZE
         after = self.length - before - 1
@@ -43,20 +44,20 @@
         return tuple(part for part in parts if part.length)
 
 
-#: All of it.
+#: The whole ring.
 WHOLE_RING = Arc(0, RING_SIZE)
 
 
 def position_of(member: VmId) -> int:
-    """Place of a member on the ring."""
+    """Position of a member on the ring."""
     return _hash_of('ring', member) % RING_SIZE
 
 
 def rank(members: Iterable[VmId], purpose: str) -> list[VmId]:
-    """Members by rendezvous hash, the chosen one first.
+    """Order members by rendezvous hash, the preferred one first.
 
-    Every daemon with the same members gets the same order with no election,
-    and one member that goes moves nobody else's turn.
+    Daemons with the same members get the same order without an election, and
+    the departure of a member does not change the order of the others.
     """
     return sorted(members, key=lambda member: _hash_of(purpose, member))
 
@@ -64,8 +65,9 @@
 def neighbours(own: VmId, members: Iterable[VmId]) -> tuple[VmId, ...]:
     """Members at doubling distances on the ring, the nearest first.
 
-    There are about log2 of the members, they rarely change, and news that
-    each passes to one of them per period is everywhere in as many periods.
+    Their number is about log2 of the number of members, and they rarely
+    change. A rumour that each daemon passes to one of them per period reaches
+    all members within about as many periods.
     """
     start = position_of(own)
     others = _sort_from(start, (found for found in members if found != own))
@@ -84,9 +86,9 @@
 
 
 class Branch(Struct, frozen=True):
-    """One child's part of a broadcast.
+    """The part of a broadcast that one child forwards.
 
-    :param delegates: the child and those to try in its stead.
+    :param delegates: the child, then its substitutes in order.
     """
 
     arc: Arc
@@ -100,8 +102,8 @@
 ) -> tuple[Branch, ...]:
     """Divide an arc into at most ``arity`` branches that cover it.
 
-    The arcs, not lists of members, say who answers for whom: a member that
-    only the child knows of is still reached.
+    Responsibility is given by arcs and not by lists of members, so that a
+    member known only to the child is still reached.
     """
     inside = _sort_from(
         arc.start,
--- a/libs/mesh/src/verbenamill_mesh/settings.py
+++ b/libs/mesh/src/verbenamill_mesh/settings.py
@@ -1,4 +1,4 @@
-"""Periods and bounds of the mesh; the defaults fit the two-year sizes."""
+"""Periods and limits of the mesh; the defaults fit the two-year sizes."""
 
 from datetime import timedelta
 
@@ -6,27 +6,30 @@
 
 
 class MeshSettings(Struct, frozen=True, kw_only=True):
-    """What tests and benches alter; operators leave it alone.
+    """Settings that tests and benches change; operators do not set them.
 
     :param probe_period: between two probes of a neighbour.
     :param request_timeout: longest wait for the answer to a small request.
-    :param transfer_timeout: longest wait for a snapshot or a page of it.
-    :param suspicion: how long a suspect may refute before it counts as dead.
-    :param tombstone_life: how long a dead member is remembered.
+    :param transfer_timeout: longest wait for a checkpoint or a page of
+        records.
+    :param suspicion_timeout: how long a suspect may refute before it counts as
+        dead.
+    :param tombstone_lifetime: how long a dead member is remembered.
     :param arity: children of one daemon in the tree of a broadcast.
-    :param idle_link: an unused link is closed after this long.
-    :param long_poll: how long the log may hold a read open.
-    :param second_delay: head start of the tree before the second reader of
-        an availability zone pushes what it read.
-    :param offer_delay: head start of the own log before a daemon fetches
-        what another one told it about.
+    :param link_idle_timeout: how long an unused link stays open.
+    :param long_poll_wait: how long the log may hold a read open.
+    :param second_reader_delay: how long the second reader of an availability
+        zone waits for the primary's push before it pushes what it read.
+    :param fetch_delay: how long a daemon waits for its zone's own reader
+        before it fetches records from a peer that has more.
     :param checkpoint_interval: longest age of the newest checkpoint.
     :param gateways_interval: between two records of gateway addresses.
-    :param lonely_after: without any peer for this long, a daemon looks up
-        gateway addresses on the log.
-    :param transfers_per_second: snapshots and pages served before peers are
-        sent elsewhere.
-    :param rumours_per_second: broadcasts of news that is not urgent.
+    :param isolation_timeout: how long a daemon without any peer waits before
+        it looks up gateway addresses on the log.
+    :param transfers_per_second: transfers served per second before peers are
+        referred to another daemon.
+    :param rumours_per_second: broadcasts per second of updates that are not
+        urgent.
     """
 
     probe_period: timedelta = timedelta(seconds=1)
--- a/libs/mesh/src/verbenamill_mesh/stats.py
+++ b/libs/mesh/src/verbenamill_mesh/stats.py
@@ -4,22 +4,23 @@
 
 
 class MeshStats(Struct, kw_only=True):
-    """What the mesh has done since the daemon started.
+    """Counters of the mesh since the daemon started.
 
     :param sent: requests and answers sent, by kind.
     :param sent_bytes: their bytes, without those of pynng and TCP.
     :param received: requests and answers received, by kind.
     :param received_bytes: their bytes.
     :param log_requests: reads and appends at the log, by stream.
-    :param entries_first_from: records taken, by where each came from first:
-        ``log``, ``push`` or ``pull``.
+    :param entries_first_from: records applied, by the source that delivered
+        each first: ``log``, ``push`` or ``pull``.
     :param links: open links to other daemons.
-    :param links_replaced: links closed since no answer came.
-    :param requests_dropped: requests given up since a peer's queue was full.
+    :param links_replaced: links closed because no answer came.
+    :param requests_dropped: requests dropped because a peer's queue was full.
     :param transfers: checkpoints, record pages and values served.
-    :param transfers_refused: those answered with an address to try.
-    :param gaps: pushes and pages that left out a record.
-    :param digest_clashes: peers with another state at the same offset.
+    :param transfers_refused: transfers refused with the address of another
+        peer.
+    :param gaps: pushes and pages with a missing record.
+    :param digest_clashes: peers with a different state at the same offset.
     :param members: members alive, own included.
     :param tombstones: dead members remembered.
     :param store_bytes: bytes of members and topics.
@@ -45,12 +46,12 @@
     ready: bool = False
 
     def count_sent(self, kind: str, size: int) -> None:
-        """Count a message that went out."""
+        """Count a sent message."""
         _add(self.sent, kind, 1)
         _add(self.sent_bytes, kind, size)
 
     def count_received(self, kind: str, size: int) -> None:
-        """Count a message that came in."""
+        """Count a received message."""
         _add(self.received, kind, 1)
         _add(self.received_bytes, kind, size)
 
@@ -59,7 +60,7 @@
         _add(self.log_requests, stream, 1)
 
     def count_records(self, origin: str, count: int) -> None:
-        """Count records by where they came from first."""
+        """Count records by the source that delivered them first."""
         _add(self.entries_first_from, origin, count)
 
 
--- a/libs/mesh/src/verbenamill_mesh/store.py
+++ b/libs/mesh/src/verbenamill_mesh/store.py
@@ -1,8 +1,8 @@
-"""A store of merged values with digests that find what differs.
+"""A store of merged values with digests to find differences.
 
-Two stores that hold the same have the same root. When roots differ, digests
-of buckets narrow the search to few keys, so the cost follows the difference
-and not the size of the store.
+Two stores with the same content have the same root digest. When the roots
+differ, digests of buckets narrow the search to a few keys, so the cost depends
+on the size of the difference and not on that of the store.
 """
 
 from collections import OrderedDict
@@ -13,9 +13,9 @@
 
 BUCKET_COUNT = 256
 DIGEST_SIZE = 8
-#: Marks in one answer; more buckets follow in the next round.
+#: Hashes in one answer; further buckets follow in the next round.
 MAX_HASHES = 1024
-#: Keys remembered as dropped, so that a peer does not bring them back.
+#: Dropped keys that are remembered, so that no peer can restore them.
 MAX_DROPPED_KEYS = 4096
 
 Merge = Callable[[bytes | None, bytes], bytes]
@@ -30,14 +30,14 @@
 
 
 class KeyValueHash(Struct, frozen=True, array_like=True):
-    """A key and its value by their hashes."""
+    """The hash of a key and the hash of its value."""
 
     key: bytes
     value: bytes
 
 
 def include_all(value: bytes) -> bool:
-    """Count every value in the digests."""
+    """Include every value in the digests."""
     return True
 
 
@@ -70,11 +70,11 @@
         """Add a topic.
 
         :param merge: commutative, associative and idempotent; equal values
-            have equal bytes.
-        :param is_counted: whether a value takes part in the digests. One
-            that does not is still told to peers that hold an older one.
+            must have equal bytes.
+        :param is_in_digest: whether a value is included in the digests.
+            Excluded values are still sent to peers that hold an older one.
         """
-        assert name not in self._topics, f'topic {name} is there already'
+        assert name not in self._topics, f'topic {name} is already registered'
         self._topics[name] = _Topic(merge, is_in_digest, {})
 
     def entries(self, topic: str) -> dict[str, bytes]:
@@ -84,7 +84,7 @@
     def merge(self, update: Update) -> bool:
         """Merge a value.
 
-        :returns: whether it changed what the store holds.
+        :returns: whether the stored value changed.
         """
         topic = self._topics.get(update.topic)
         key = _key_of(update.topic, update.key)
@@ -101,7 +101,7 @@
         return True
 
     def find_newer(self, update: Update) -> Update | None:
-        """What the store holds, when it differs from an update."""
+        """The stored value, when it differs from that of a merged update."""
         topic = self._topics.get(update.topic)
         if topic is None:
             return None
@@ -111,14 +111,14 @@
         return Update(update.topic, update.key, current)
 
     def forget(self, topic: str, key: str) -> None:
-        """Remove a value; a peer that has it may bring it back."""
+        """Remove a value; a peer that still has it may restore it."""
         self._topics[topic].entries.pop(key, None)
         hashed = _key_of(topic, key)
         self._topic_keys.pop(hashed, None)
         self._set_hash(hashed, None)
 
     def drop(self, topic: str, keep: Callable[[str], bool]) -> None:
-        """Remove values for good; late copies of them are ignored."""
+        """Remove values permanently; late copies of them are ignored."""
         ended = [key for key in self._topics[topic].entries if not keep(key)]
         for key in ended:
             self.forget(topic, key)
@@ -127,13 +127,13 @@
             self._dropped_keys.popitem(last=False)
 
     def root(self) -> bytes:
-        """Digest over everything that is counted."""
+        """Digest over all values that are included in digests."""
         if self._root is None:
             self._root = _hash_of(self.buckets())
         return self._root
 
     def buckets(self) -> bytes:
-        """Digests of all buckets, one after the other."""
+        """Digests of all buckets, concatenated."""
         return b''.join(
             digest.to_bytes(DIGEST_SIZE) for digest in self._digests
         )
@@ -141,10 +141,10 @@
     def find_differing_buckets(
         self, buckets: bytes
     ) -> tuple[tuple[int, ...], list[KeyValueHash]]:
-        """Buckets that differ from a peer's, with the marks in them.
+        """Find buckets that differ from a peer's, with their hashes.
 
-        :returns: at least one bucket when any differs, and no further ones
-            beyond ``MAX_MARKS`` marks.
+        :returns: at least one bucket if any differs; no further buckets once
+            that would exceed ``MAX_HASHES`` hashes.
         """
         differing: list[int] = []
         hashes: list[KeyValueHash] = []
@@ -168,9 +168,9 @@
         buckets: tuple[int, ...],
         hashes: tuple[KeyValueHash, ...],
     ) -> tuple[list[bytes], list[Update]]:
-        """Work out an exchange from a peer's marks.
+        """Compare the own hashes with a peer's.
 
-        :returns: keys whose values to fetch, and values the peer lacks.
+        :returns: keys whose values to fetch, and values that the peer lacks.
         """
         peer_hashes = {pair.key: pair.value for pair in hashes}
         to_fetch = [
@@ -189,7 +189,7 @@
         return to_fetch, self.look_up(tuple(to_push))
 
     def look_up(self, keys: tuple[bytes, ...]) -> list[Update]:
-        """Values of keys, as far as the store has them."""
+        """Values of those keys that the store has."""
         found = (self._topic_keys.get(key) for key in keys)
         return [
             Update(name[0], name[1], self._topics[name[0]].entries[name[1]])
--- a/libs/mesh/src/verbenamill_mesh/testing.py
+++ b/libs/mesh/src/verbenamill_mesh/testing.py
@@ -1,6 +1,6 @@
-"""A network and a log in memory, for tests on a clock of their own.
+"""A network and a log in memory, for tests on a mock clock.
 
-Both fail on demand, in the ways that the real ones do.
+Both fail on request, in the ways that the real ones do.
 """
 
 from collections.abc import Callable
@@ -28,9 +28,9 @@
 
 
 class MemoryNetwork:
-    """Listeners by address.
+    """A network in memory: the request callbacks by address.
 
-    :param delay: one way.
+    :param delay: mean delay of one direction.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         return MemoryTransport(self, address)
 
     def silence_links(self) -> None:
-        """Let every open connection go silent for good."""
+        """Drop all further messages on the connections that are open now."""
         self._silent |= self._links
 
     def listen(self, address: str, on_request: RequestCallback) -> None:
@@ -63,16 +63,16 @@
         self._listeners.pop(address, None)
 
     def add(self, link: '_MemoryLink') -> None:
-        """Note an open connection."""
+        """Register an open connection."""
         self._links.add(link)
 
     def remove(self, link: '_MemoryLink') -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self._links.discard(link)
         self._silent.discard(link)
 
     async def deliver(self, link: '_MemoryLink', body: bytes) -> bytes:
-        """Carry a request and its answer; lost ones wait for ever."""
+        """Deliver a request and its answer; lost ones wait for ever."""
         await self._transmit(link, link.source, link.target)
         on_request = self._listeners.get(link.target)
         if on_request is None:
@@ -140,14 +140,14 @@
             self._network.close(address)
 
     def dial(self, address: str) -> Link:
-        """Begin a connection."""
+        """Start a connection."""
         return _MemoryLink(self._network, self._address, address)
 
 
 class MemoryLog:
-    """Streams in memory, with retention by count and an outage switch.
+    """Streams in memory, with retention by count and switches for faults.
 
-    :param kept: records that a stream keeps.
+    :param max_records: records that a stream keeps.
     """
 
     def __init__(self, *, max_records: int = 10_000) -> None:
@@ -163,7 +163,7 @@
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append one record and learn its offset."""
+        """Append one record and return its offset."""
         await trio.lowlevel.checkpoint()
         if self.is_down:
             return Failure(LogError(fault=LogFault.NOT_APPENDED, detail='down'))
@@ -202,7 +202,7 @@
         return self._page(stream, start, limit)
 
     def records(self, stream: str) -> list[Entry]:
-        """Everything that was ever appended, also what has expired."""
+        """All records ever appended, including expired ones."""
         return list(self._streams.get(stream, ()))
 
     def _end(self, stream: str) -> Offset:
@@ -235,7 +235,7 @@
 
 
 class LogConnection:
-    """One availability zone's way to a log, which may be cut.
+    """One availability zone's connection to a log, which can be cut.
 
     :param log: shared with the other availability zones.
     """
@@ -249,7 +249,7 @@
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append one record and learn its offset."""
+        """Append one record and return its offset."""
         if self.is_down:
             return Failure(LogError(fault=LogFault.NOT_APPENDED, detail='cut'))
         return await self._log.append(stream, body)
@@ -277,9 +277,9 @@
 ) -> None:
     """Wait until a condition holds.
 
-    :raises AssertionError: when it does not in time.
+    :raises AssertionError: when it does not hold in time.
     """
     with trio.move_on_after(within.total_seconds()):
         while not condition():
             await trio.sleep(step.total_seconds())
-    assert condition(), f'not so within {within}'
+    assert condition(), f'the condition did not hold within {within}'
--- a/libs/mesh/src/verbenamill_mesh/token_bucket.py
+++ b/libs/mesh/src/verbenamill_mesh/token_bucket.py
@@ -1,4 +1,4 @@
-"""A bound on how often something is done."""
+"""A limit on the rate of an operation."""
 
 from datetime import timedelta
 
@@ -6,9 +6,9 @@
 
 
 class TokenBucket:
-    """A token bucket that holds one second's worth.
+    """A token bucket that holds one second's worth of tokens.
 
-    :param per_second: tokens that come in each second.
+    :param tokens_per_second: tokens added per second.
     """
 
     def __init__(self, tokens_per_second: float, clock: Clock) -> None:
@@ -18,7 +18,10 @@
         self._filled_at: timedelta | None = None
 
     def try_take(self) -> bool:
-        """Take a token, if there is one."""
+        """Take a token, if there is one.
+
+        :returns: whether a token was taken.
+        """
         self._refill()
         if self._tokens < 1:
             return False
--- a/libs/mesh/src/verbenamill_mesh/transport.py
+++ b/libs/mesh/src/verbenamill_mesh/transport.py
@@ -1,6 +1,6 @@
 """Requests and answers over pynng, behind a narrow interface.
 
-Tests put a transport in memory in its place, so that time can be theirs.
+Tests replace it by a transport in memory, which runs on a mock clock.
 """
 
 from collections.abc import Awaitable, Callable
@@ -10,12 +10,12 @@
 from pynng import Context, NNGException, Rep0, Req0
 from returns.result import Failure, Result, Success
 
-#: Requests that one daemon answers at a time.
+#: Requests that one daemon handles concurrently.
 MAX_CONCURRENT_REQUESTS = 16
 #: Longest message; a compressed checkpoint is far below it.
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
-#: Answers a request; ``None`` leaves it without an answer.
+#: Handles a request; ``None`` leaves it without an answer.
 RequestCallback = Callable[[bytes], Awaitable[bytes | None]]
 
 
@@ -23,7 +23,7 @@
     """A connection to one other daemon; one request at a time."""
 
     async def request(self, body: bytes) -> Result[bytes, str]:
-        """Send a request and wait for its answer, for ever if need be."""
+        """Send a request and wait for its answer, without a timeout."""
 
     def close(self) -> None:
         """Close the connection."""
@@ -42,7 +42,7 @@
         """Answer requests until cancelled."""
 
     def dial(self, address: str) -> Link:
-        """Begin a connection; it need not be up yet."""
+        """Start a connection, which need not be established yet."""
 
 
 class PynngLink:
@@ -51,8 +51,8 @@
     def __init__(self, address: str) -> None:
         self._socket = Req0(recv_max_size=MAX_MESSAGE_BYTES)
         try:
-            # A dial that blocks would hold up the whole loop while the
-            # peer's machine is off; this one goes on in the background.
+            # A blocking dial would stop the whole event loop while the peer's
+            # machine is off; this one continues in the background.
             self._socket.dial(_url(address), block=False)
         except NNGException:
             # Requests on the link fail, and a later dial may succeed.
@@ -72,7 +72,7 @@
 
 
 class PynngTransport:
-    """Daemons that reach each other over pynng's request and reply."""
+    """Transport over pynng's request and reply protocol."""
 
     async def serve(
         self,
@@ -93,7 +93,7 @@
                 task_status.started()
 
     def dial(self, address: str) -> Link:
-        """Begin a connection."""
+        """Start a connection."""
         return PynngLink(address)
 
 
@@ -109,8 +109,9 @@
         if reply is not None:
             await context.asend(reply)
     except NNGException:
-        # The asker has gone, or sent what is no message; the next request
-        # is not concerned. Without a pause a broken socket would spin.
+        # The peer has disconnected or sent an invalid message, which does not
+        # concern the next request. Without a pause, a broken socket would
+        # cause a busy loop.
         await trio.sleep(0.01)
 
 
