--- a/libs/mesh/src/verbenamill_mesh/broadcast.py
+++ b/libs/mesh/src/verbenamill_mesh/broadcast.py
@@ -10,12 +10,12 @@
 import trio
 from msgspec.structs import replace
 
+from verbenamill_mesh.budget import TokenBucket
 from verbenamill_mesh.messages import Push, ValuesReply
 from verbenamill_mesh.peers import Peers
 from verbenamill_mesh.ring import WHOLE_RING, Branch, position_of, split
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.store import Update
-from verbenamill_mesh.token_bucket import TokenBucket
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, VmId
 from verbenamill_runtime import Clock
--- a/libs/mesh/src/verbenamill_mesh/mesh.py
+++ b/libs/mesh/src/verbenamill_mesh/mesh.py
@@ -11,7 +11,6 @@
 from verbenamill_mesh.broadcast import Broadcaster
 from verbenamill_mesh.checkpoints import Checkpoints
 from verbenamill_mesh.configuration import Configuration
-from verbenamill_mesh.failure_detector import FailureDetector
 from verbenamill_mesh.gateway_directory import GatewayDirectory
 from verbenamill_mesh.links import Links
 from verbenamill_mesh.log_reader import LogReader
@@ -19,6 +18,7 @@
 from verbenamill_mesh.messages import ApplicationMessage, ProbeReply
 from verbenamill_mesh.peer_sync import PeerSync, SyncCallbacks
 from verbenamill_mesh.peers import Peers
+from verbenamill_mesh.probing import FailureDetector
 from verbenamill_mesh.request_handler import RequestHandler
 from verbenamill_mesh.ring import rank
 from verbenamill_mesh.settings import MeshSettings
--- a/libs/mesh/src/verbenamill_mesh/request_handler.py
+++ b/libs/mesh/src/verbenamill_mesh/request_handler.py
@@ -7,6 +7,7 @@
 from returns.result import Success
 
 from verbenamill_mesh.broadcast import Broadcaster
+from verbenamill_mesh.budget import TokenBucket
 from verbenamill_mesh.configuration import Configuration
 from verbenamill_mesh.links import Links
 from verbenamill_mesh.members import Members
@@ -37,7 +38,6 @@
 from verbenamill_mesh.settings import MeshSettings
 from verbenamill_mesh.stats import MeshStats
 from verbenamill_mesh.store import Store, Update
-from verbenamill_mesh.token_bucket import TokenBucket
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, Offset, VmId
 from verbenamill_runtime import Clock
--- a/libs/mesh/src/verbenamill_mesh/ring.py
+++ b/libs/mesh/src/verbenamill_mesh/ring.py
@@ -22,13 +22,13 @@
     start: int
     length: int
 
-    def has(self, position: int) -> bool:
+    def contains(self, position: int) -> bool:
         """Whether a position lies on the arc."""
         return (position - self.start) % RING_SIZE < self.length
 
     def without(self, position: int) -> 'tuple[Arc, ...]':
         """The arc without one position on it."""
-        if not self.has(position):
+        if not self.contains(position):
             return (self,)
         if self.length == RING_SIZE:
             # The rest stays one arc. An arc without a member known to this
@@ -70,19 +70,19 @@
     all members within about as many periods.
     """
     start = position_of(own)
-    others = _sort_from(start, (found for found in members if found != own))
+    others = _sort_from(start, (member for member in members if member != own))
     if not others:
         return ()
     distances = [_distance(start, other) for other in others]
-    found: dict[VmId, None] = dict.fromkeys(others[:2])
+    chosen: dict[VmId, None] = dict.fromkeys(others[:2])
     step = RING_SIZE // 2
     while step > distances[0]:
         for other, distance in zip(others, distances, strict=True):
             if distance >= step:
-                found[other] = None
+                chosen[other] = None
                 break
         step //= 2
-    return tuple(found)
+    return tuple(chosen)
 
 
 class Branch(Struct, frozen=True):
@@ -107,7 +107,7 @@
     """
     inside = _sort_from(
         arc.start,
-        (found for found in members if arc.has(position_of(found))),
+        (member for member in members if arc.contains(position_of(member))),
     )
     size = -(-len(inside) // arity) or 1
     groups = [
--- a/libs/mesh/tests/conftest.py
+++ b/libs/mesh/tests/conftest.py
@@ -64,7 +64,7 @@
             settings=self.settings,
             transport=self.network.transport(name),
         )
-        mesh.add_topic('moves', keep_longer)
+        mesh.add_topic('moves', merge_longer)
         scope = trio.CancelScope()
 
         async def run(*, task_status):
@@ -100,7 +100,7 @@
         )
 
 
-def keep_longer(old, new):
+def merge_longer(old, new):
     return max(old or b'', new, key=lambda value: (len(value), value))
 
 
@@ -114,8 +114,8 @@
                 await scenario(Fleet(nursery, **options))
                 nursery.cancel_scope.cancel()
 
-        # Trio shuffles tasks that are ready at once; with its own random
-        # numbers fixed, a verdict is the same each time.
+        # Trio shuffles tasks that become ready together. Seeding its random
+        # numbers makes each run of a test give the same result.
         _run._ALLOW_DETERMINISTIC_SCHEDULING = True
         _run._r.seed(1)
         trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""What breaks between daemons, and what callers must not see of it."""
+"""Faults between daemons, and that callers are not affected by them."""
 
 from datetime import timedelta
 
@@ -83,10 +83,10 @@
 
 
 def test_silent_connections_are_replaced(run_fleet):
-    """Every open connection goes silent for good while new ones work.
+    """All open connections stop carrying messages, while new ones work.
 
-    A daemon that waited on its links would miss all later tickets. Each
-    request that is not answered closes its link and goes over a new one.
+    A daemon that kept waiting on its links would miss all later tickets. Each
+    request without an answer closes its link and is sent over a new one.
     """
 
     async def scenario(fleet):
@@ -103,7 +103,7 @@
             within=WITHIN_3_S,
         )
         await trio.sleep(20)
-        assert fleet.all_know(8), 'nobody counts as dead'
+        assert fleet.all_know(8), 'no daemon counts as dead'
 
     run_fleet(scenario)
 
@@ -167,7 +167,7 @@
         for name, daemon in fleet.daemons.items():
             assert daemon.mesh.own_member.id == name
             assert name not in daemon.mesh.members()
-        # What the task that tells the other zone may find when it runs.
+        # The task that contacts the other zone may find no member left in it.
         peers = fleet.daemons['a-0'].mesh._peers
         assert peers.gateways('zone with nobody left') == ()
 
@@ -351,7 +351,7 @@
             d.mesh.stats().entries_first_from.get('pull', 0)
             for d in daemons_of(fleet)
         )
-        assert fetched <= 3, 'a few may probe before their part comes'
+        assert fetched <= 3, 'a few may probe before the push reaches them'
 
     run_fleet(scenario)
 
@@ -401,7 +401,7 @@
 
 
 class PausedClock(TrioClock):
-    """A clock that jumps, as a process sees it that was stopped."""
+    """A clock that jumps, as it does for a process that was paused."""
 
     pause = timedelta(0)
 
@@ -531,7 +531,9 @@
         written = fleet.log.records(CHECKPOINTS_STREAM)
         age = TrioClock(EPOCH).now() - written[-1].at
         assert age < timedelta(minutes=2)
-        assert len(written) < 8, 'one writer, not one a daemon or zone'
+        assert len(written) < 8, (
+            'one writer in total, not one per daemon or zone'
+        )
 
     run_fleet(scenario)
 
@@ -539,8 +541,8 @@
 def test_expired_records_are_never_skipped(run_fleet):
     """The oldest records have expired and there is no checkpoint.
 
-    Reading on from the oldest record left would give a state that no other
-    daemon has. The daemon says so, serves what it has and is not ready.
+    Reading from the oldest remaining record would give a state that no other
+    daemon has. The daemon stays at its offset and is not ready.
     """
 
     async def scenario(fleet):
--- a/libs/mesh/tests/test_mesh.py
+++ b/libs/mesh/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Several daemons: what one learns, all know."""
+"""Several daemons: what one daemon learns reaches all of them."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
     await wait_until(lambda: fleet.all_know(count))
 
 
-def test_daemons_of_two_zones_find_each_other(run_fleet):
+def test_daemons_of_two_zones_discover_each_other(run_fleet):
     async def scenario(fleet):
         await start_zones(fleet)
         offset = fleet.publish()
@@ -31,8 +31,8 @@
     run_fleet(scenario)
 
 
-def test_pynng_carries_tickets_and_members():
-    """The same over pynng, inside the process, so that no port is taken."""
+def test_tickets_and_members_spread_over_pynng():
+    """Tickets and members spread over pynng, in one process and without ports."""
 
     async def main():
         log = MemoryLog()
@@ -103,11 +103,11 @@
 def test_a_message_reaches_its_handler(run_fleet):
     async def scenario(fleet):
         await start_zones(fleet)
-        got = []
+        received = []
         fleet.daemons['b-2'].mesh.set_handler(
-            'report', lambda sender, body: got.append((sender, body))
+            'report', lambda sender, body: received.append((sender, body))
         )
         fleet.daemons['a-1'].mesh.send('b-2', 'report', b'counts')
-        await wait_until(lambda: got == [('a-1', b'counts')])
+        await wait_until(lambda: received == [('a-1', b'counts')])
 
     run_fleet(scenario)
--- a/libs/mesh/tests/test_parts.py
+++ b/libs/mesh/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon's mesh, each by itself."""
+"""Tests of single components of a daemon's mesh."""
 
 from datetime import timedelta
 from random import Random
@@ -39,9 +39,9 @@
 
 
 def test_a_request_on_a_silent_link_gets_its_answer_on_a_new_one():
-    """The connection to a peer goes silent, the peer is well.
+    """The connection to a healthy peer stops carrying messages.
 
-    The caller of ``ask`` sees an answer, one timeout late, and the silent
+    The request still gets its answer, one timeout late, and the silent
     connection is closed.
     """
     network = MemoryNetwork(Random(1))
@@ -82,11 +82,12 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_request_is_not_lost_with_an_idle_link():
-    """A request comes in the moment in which its link is given up as idle.
+def test_a_request_is_not_lost_when_its_link_becomes_idle():
+    """A request is queued at the moment when its link is closed as idle.
 
-    It stood in the queue of a task that had ended, and its asker waited for
-    ever: a daemon then exchanged nothing any more, though it seemed well.
+    Such a request stayed in the queue of a task that had ended, and its sender
+    waited for ever: the daemon exchanged nothing any more, although it seemed
+    healthy.
     """
     network = MemoryNetwork(Random(1), delay=timedelta(0))
     links = Links(
@@ -117,27 +118,29 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_tombstone_of_someone_unknown_is_not_taken():
-    """Daemons forget the dead at different times.
+def test_a_tombstone_of_an_unknown_member_is_ignored():
+    """Daemons remove tombstones at different times.
 
-    One that has forgotten must not take the tombstone back from one that
-    has not, or it would go round for ever.
+    If a daemon that has removed one accepted it again from another daemon, the
+    tombstone would circulate for ever.
     """
     members = Members(member('vm-1'), Store(), on_refutation_needed=int)
     other = Members(member('vm-2'), Store(), on_refutation_needed=int)
     alive = other.update_own_record()
     assert members.merge_update(alive)
     tombstone = members.declare_status('vm-2', MemberStatus.DEAD)
-    assert not members.merge_update(alive), 'what is older does not revive it'
+    assert not members.merge_update(alive), (
+        'an older record does not supersede a tombstone'
+    )
     members.forget('vm-2')
     assert not members.merge_update(tombstone)
     assert members.record('vm-2') is None
     assert members.merge_update(other.update_own_record()), (
-        'a new word of its own does'
+        'a newer record of the member does'
     )
 
 
-def test_a_dropped_key_is_not_brought_back():
+def test_a_dropped_key_is_not_restored():
     stores = [Store(), Store()]
     for store in stores:
         store.add_topic('moves', lambda old, new: max(old or b'', new))
@@ -149,8 +152,8 @@
 
 
 def exchange(own, other):
-    buckets, marks = other.find_differing_buckets(own.buckets())
-    return own.plan_exchange(buckets, tuple(marks))
+    buckets, hashes = other.find_differing_buckets(own.buckets())
+    return own.plan_exchange(buckets, tuple(hashes))
 
 
 keys = st.integers(0, 30).map(str)
@@ -159,20 +162,20 @@
 
 @checked
 @given(values, values)
-def test_an_exchange_makes_two_stores_the_same(left, right):
+def test_an_exchange_makes_two_stores_equal(left, right):
     stores = [Store(), Store()]
-    for store, held in zip(stores, (left, right)):
+    for store, initial in zip(stores, (left, right)):
         store.add_topic('t', lambda old, new: max(old or b'', new))
-        for key, value in held.items():
+        for key, value in initial.items():
             store.merge(Update('t', key, value))
     own, other = stores
-    wanted, lacking = exchange(own, other)
-    for update in other.look_up(tuple(wanted)):
+    to_fetch, to_push = exchange(own, other)
+    for update in other.look_up(tuple(to_fetch)):
         own.merge(update)
         newer = own.find_newer(update)
         if newer is not None:
             other.merge(newer)
-    for update in lacking:
+    for update in to_push:
         other.merge(update)
     assert own.entries('t') == other.entries('t')
     assert own.root() == other.root()
@@ -180,7 +183,7 @@
 
 @checked
 @given(names, st.integers(1, 5), st.integers(0, RING_SIZE - 1))
-def test_a_tree_reaches_everyone_once(members, arity, start):
+def test_a_broadcast_tree_reaches_each_member_once(members, arity, start):
     """Each daemon splits the arc it was given; together they cover it."""
     reached = []
 
@@ -196,7 +199,7 @@
 
 @checked
 @given(names, st.integers(2, 5))
-def test_a_tree_reaches_those_whom_the_root_does_not_know(members, arity):
+def test_a_broadcast_tree_reaches_members_unknown_to_the_root(members, arity):
     reached = set()
 
     def deliver(arc, own, known):
@@ -213,7 +216,7 @@
 
 @checked
 @given(names)
-def test_neighbours_are_few_and_connect_everyone(members):
+def test_neighbours_are_few_and_connect_all_members(members):
     for own in members:
         assert len(neighbours(own, members)) <= 2 * len(members).bit_length()
     reached = set(sorted(members)[:1])
@@ -225,30 +228,35 @@
     assert reached == members
 
 
-def test_a_fast_restart_wins_over_the_record_of_the_run_before():
+def test_a_fast_restart_supersedes_the_record_of_the_previous_run():
     """A daemon restarts on another port, with its id and first incarnation.
 
-    Both records have the same precedence; whichever the bytes favour, the
-    running daemon takes a higher incarnation and its address wins.
+    Both records have the same precedence. Whichever one the order of the bytes
+    prefers, the running daemon takes a higher incarnation, so that its own
+    address is used.
     """
     for old_port, new_port in (('1', '2'), ('2', '1')):
-        doubts = []
+        refuted_incarnations = []
         before = Members(member('vm-1'), Store(), on_refutation_needed=int)
         old = before.update_own_record(
             own=replace(member('vm-1'), control=old_port)
         )
         after = Members(
-            member('vm-1'), Store(), on_refutation_needed=doubts.append
+            member('vm-1'),
+            Store(),
+            on_refutation_needed=refuted_incarnations.append,
         )
         after.update_own_record(own=replace(member('vm-1'), control=new_port))
         assert not after.merge_update(old)
         other = Members(member('vm-2'), Store(), on_refutation_needed=int)
         other.merge_update(old)
-        other.merge_update(after.update_own_record(exceeding=doubts.pop()))
+        other.merge_update(
+            after.update_own_record(exceeding=refuted_incarnations.pop())
+        )
         assert other.alive()['vm-1'].control == new_port
 
 
-def test_records_of_one_run_only_get_worse():
+def test_the_status_within_an_incarnation_only_increases():
     members = Members(member('vm-1'), Store(), on_refutation_needed=int)
     members.merge_update(
         Members(
--- a/libs/mesh/tests/test_random_run.py
+++ b/libs/mesh/tests/test_random_run.py
@@ -1,8 +1,8 @@
-"""Long random runs of two zones with everything failing, seeds fixed.
+"""Long random runs of two zones under all faults, with fixed seeds.
 
-While it runs, no daemon's version goes back, and any two daemons at the same
-offset have the same state. Once all is mended, all have the state that the
-log leads to, the same members and the same topics.
+During a run, no daemon's version decreases, and any two daemons at the same
+offset have the same state. After all faults are repaired, all daemons have the
+state that the log yields, the same members and the same topics.
 """
 
 from datetime import timedelta
@@ -20,39 +20,39 @@
 STEPS = 120
 
 
-class Run:
+class RandomRun:
     def __init__(self, fleet, seed):
         self.fleet = fleet
         self.random = Random(seed)
-        self.views = {zone: LogConnection(fleet.log) for zone in 'ab'}
-        self.lost = 0
-        self.parted = False
-        self.deaf = set()
+        self.log_connections = {zone: LogConnection(fleet.log) for zone in 'ab'}
+        self.loss_rate = 0
+        self.is_partitioned = False
+        self.unreachable = set()
         self.moves = 0
         self.started = 0
         self.digests = {}
         self.actions = (
             *[self.publish] * 6,
             *[self.put_veto] * 2,
-            self.publish_again,
-            self.publish_broken,
+            self.publish_duplicate,
+            self.publish_invalid,
             self.announce,
             self.kill,
             self.leave,
             self.restart,
             self.restart,
-            self.fail_log,
-            self.mend_log,
-            self.lose_answers,
-            self.part_zones,
-            self.join_zones,
-            self.lose_messages,
-            self.lose_none,
-            self.silence,
-            self.deafen,
+            self.cut_log,
+            self.restore_log,
+            self.toggle_lost_answers,
+            self.partition_zones,
+            self.reconnect_zones,
+            self.start_message_loss,
+            self.stop_message_loss,
+            self.silence_open_links,
+            self.toggle_unreachable,
         )
 
-    async def play(self):
+    async def run_steps(self):
         self.fleet.network.is_lost = self.is_lost
         for zone in 'ab':
             for _ in range(ZONE_SIZE):
@@ -61,8 +61,8 @@
             await self.random.choice(self.actions)()
             await trio.sleep(self.random.expovariate(1))
 
-    async def watch(self):
-        """What must hold at any moment."""
+    async def check_invariants(self):
+        """Check continuously what must hold at any moment."""
         versions = {}
         while True:
             for daemon in self.fleet.daemons.values():
@@ -72,22 +72,22 @@
                 versions[daemon] = version
                 head = configuration.head()
                 known = self.digests.setdefault(head.offset, head.digest)
-                assert known == head.digest, 'two states at one offset'
+                assert known == head.digest, 'different states at one offset'
             await trio.sleep(0.05)
 
-    async def settle(self):
-        """Mend everything; all must agree in a minute."""
-        self.lost = 0
-        self.parted = False
-        self.deaf.clear()
-        for view in self.views.values():
-            view.is_down = False
+    async def repair_and_verify(self):
+        """Repair all faults, then check that all daemons agree."""
+        self.loss_rate = 0
+        self.is_partitioned = False
+        self.unreachable.clear()
+        for connection in self.log_connections.values():
+            connection.is_down = False
         self.fleet.log.loses_answers = False
         offset = self.fleet.publish()
         fleet = self.fleet
         await wait_until(lambda: fleet.all_at(offset))
-        # Islands of daemons that never met find each other by addresses on
-        # the log, which are written twice a minute.
+        # Groups of daemons that never met find each other by addresses on the
+        # log, which are written twice a minute.
         await wait_until(
             lambda: fleet.all_know(len(fleet.daemons)),
             within=timedelta(minutes=3),
@@ -99,19 +99,21 @@
                 for d in fleet.daemons.values()
             )
         )
-        whole = fold(State(), tuple(fleet.log.records(CONFIG_STREAM))).unwrap()
+        expected_state = fold(
+            State(), tuple(fleet.log.records(CONFIG_STREAM))
+        ).unwrap()
         for daemon in fleet.daemons.values():
-            assert daemon.configuration.head().digest == whole.digest
+            assert daemon.configuration.head().digest == expected_state.digest
 
     def is_lost(self, source, target):
         return (
-            source in self.deaf
-            or target in self.deaf
-            or (self.parted and source[0] != target[0])
-            or self.random.random() < self.lost
+            source in self.unreachable
+            or target in self.unreachable
+            or (self.is_partitioned and source[0] != target[0])
+            or self.random.random() < self.loss_rate
         )
 
-    def any_daemon(self):
+    def choose_daemon(self):
         return self.random.choice(sorted(self.fleet.daemons))
 
     def zone_size(self, zone):
@@ -123,40 +125,42 @@
             f'{zone}-{self.started}',
             zone=zone,
             seeds=('a-1', 'b-6'),
-            log=self.views[zone],
+            log=self.log_connections[zone],
         )
 
     async def publish(self):
         self.fleet.publish()
 
-    async def publish_again(self):
+    async def publish_duplicate(self):
         records = self.fleet.log.records(CONFIG_STREAM)
         if records:
             body = self.random.choice(records).body
             self.fleet.log.put(CONFIG_STREAM, body)
 
-    async def publish_broken(self):
+    async def publish_invalid(self):
         self.fleet.log.put(CONFIG_STREAM, b'{"type": "ticket"')
 
     async def put_veto(self):
-        mesh = self.fleet.daemons[self.any_daemon()].mesh
+        mesh = self.fleet.daemons[self.choose_daemon()].mesh
         mesh.put('moves', f'm{self.moves}', b'veto')
         self.moves += 1
-        # One that dies with its news at once takes it along, rightly.
+        # A daemon that is killed before it could send the veto loses it, which
+        # is correct behaviour.
         await trio.sleep(0.5)
 
     async def announce(self):
         state = self.random.choice(['starting', 'ready', 'draining'])
-        self.fleet.daemons[self.any_daemon()].mesh.announce_upstream(
+        self.fleet.daemons[self.choose_daemon()].mesh.announce_upstream(
             Upstream(
                 service='s', version='v', state=state, slots=1, connections=1
             )
         )
 
-    def is_known(self, name):
-        """Whether others of its zone hold what a daemon knows.
+    def is_replicated(self, name):
+        """Whether another daemon of its zone has all that this one has.
 
-        What only it knew is lost with it, rightly.
+        What only one daemon has is lost when it is killed, which is correct
+        behaviour.
         """
         known = self.fleet.daemons[name].mesh.entries('moves').keys()
         return any(
@@ -166,16 +170,16 @@
         )
 
     async def kill(self):
-        name = self.any_daemon()
-        if self.zone_size(name[0]) > 2 and self.is_known(name):
-            self.deaf.discard(name)
+        name = self.choose_daemon()
+        if self.zone_size(name[0]) > 2 and self.is_replicated(name):
+            self.unreachable.discard(name)
             self.fleet.kill(name)
 
     async def leave(self):
-        name = self.any_daemon()
-        if self.zone_size(name[0]) > 3 and self.is_known(name):
+        name = self.choose_daemon()
+        if self.zone_size(name[0]) > 3 and self.is_replicated(name):
             await self.fleet.daemons[name].mesh.leave()
-            self.deaf.discard(name)
+            self.unreachable.discard(name)
             self.fleet.kill(name)
 
     async def restart(self):
@@ -183,45 +187,45 @@
         if self.zone_size(zone) < ZONE_SIZE:
             await self.start(zone)
 
-    async def fail_log(self):
+    async def cut_log(self):
         zones = self.random.choice(['a', 'b', 'ab'])
         for zone in zones:
-            self.views[zone].is_down = True
+            self.log_connections[zone].is_down = True
 
-    async def lose_answers(self):
+    async def toggle_lost_answers(self):
         self.fleet.log.loses_answers = not self.fleet.log.loses_answers
 
-    async def mend_log(self):
-        for view in self.views.values():
-            view.is_down = False
+    async def restore_log(self):
+        for connection in self.log_connections.values():
+            connection.is_down = False
 
-    async def part_zones(self):
-        self.parted = True
+    async def partition_zones(self):
+        self.is_partitioned = True
 
-    async def join_zones(self):
-        self.parted = False
+    async def reconnect_zones(self):
+        self.is_partitioned = False
 
-    async def lose_messages(self):
-        self.lost = self.random.choice([0.1, 0.5])
+    async def start_message_loss(self):
+        self.loss_rate = self.random.choice([0.1, 0.5])
 
-    async def lose_none(self):
-        self.lost = 0
+    async def stop_message_loss(self):
+        self.loss_rate = 0
 
-    async def silence(self):
+    async def silence_open_links(self):
         self.fleet.network.silence_links()
 
-    async def deafen(self):
-        self.deaf ^= {self.any_daemon()}
+    async def toggle_unreachable(self):
+        self.unreachable ^= {self.choose_daemon()}
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_everything_fails_at_random(run_fleet, seed):
+def test_state_converges_after_random_faults(run_fleet, seed):
     async def scenario(fleet):
-        run = Run(fleet, seed)
+        random_run = RandomRun(fleet, seed)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(run.watch)
-            await run.play()
-            await run.settle()
+            nursery.start_soon(random_run.check_invariants)
+            await random_run.run_steps()
+            await random_run.repair_and_verify()
             nursery.cancel_scope.cancel()
 
     run_fleet(scenario, seed=seed, log=MemoryLog(max_records=60))
