--- a/libs/mesh/tests/test_failures.py
+++ b/libs/mesh/tests/test_failures.py
@@ -22,8 +22,8 @@
 from verbenamill_runtime import LogPage, TrioClock
 from verbenamill_runtime.streams import CHECKPOINTS_STREAM, CONFIG_STREAM
 
-WITHIN_3_S = timedelta(seconds=3)
-WITHIN_10_S = timedelta(seconds=10)
+THREE_SECONDS = timedelta(seconds=3)
+TEN_SECONDS = timedelta(seconds=10)
 
 
 def upstream(state):
@@ -59,12 +59,12 @@
     return daemon.mesh.stats().log_requests.get(CONFIG_STREAM, 0) > 0
 
 
-def test_both_readers_die_and_tickets_go_on(run_fleet):
+def test_tickets_are_applied_after_both_readers_die(run_fleet):
     """An operator publishes just after both log readers of a zone died.
 
-    The others still take the dead ones for the readers; nothing reads until
-    they count as dead. Then the next two in rank read, and the ticket is in
-    force, with the zone's callers served from the old state meanwhile.
+    Until the two count as dead, the others still take them for the readers,
+    and nothing is read. Then the next two in rank read, and the ticket comes
+    into force. Meanwhile callers of the zone are served from the old state.
     """
 
     async def scenario(fleet):
@@ -94,13 +94,13 @@
         fleet.network.silence_links()
         offset = fleet.publish()
         fleet.daemons['a-1'].mesh.announce_upstream(upstream('draining'))
-        await wait_until(lambda: fleet.all_at(offset), within=WITHIN_3_S)
+        await wait_until(lambda: fleet.all_at(offset), within=THREE_SECONDS)
         await wait_until(
             lambda: all(
                 d.mesh.members()['a-1'].upstream is not None
                 for d in daemons_of(fleet)
             ),
-            within=WITHIN_3_S,
+            within=THREE_SECONDS,
         )
         await trio.sleep(20)
         assert fleet.all_know(8), 'no daemon counts as dead'
@@ -108,17 +108,18 @@
     run_fleet(scenario)
 
 
-def test_draining_is_known_in_time_though_pushes_are_lost(run_fleet):
-    """Most messages of the tree are lost while an upstream begins to drain.
+def test_draining_is_known_in_time_despite_lost_pushes(run_fleet):
+    """Most pushes of the tree are lost while an upstream begins to drain.
 
-    Callers' daemons that were not told would go on giving it work. Probes
-    carry a digest of all members, and mend the rest in a few periods.
+    Daemons that do not learn of it would send it further requests. Probes
+    carry a digest of all members, so that the rest is synchronised within a
+    few periods.
     """
 
     async def scenario(fleet):
         await start_two_zones(fleet, size=8)
-        deaf = {'a-2', 'a-3', 'a-5', 'b-1', 'b-2', 'b-4', 'b-6'}
-        fleet.network.is_lost = lambda _, target: target in deaf
+        unreachable = {'a-2', 'a-3', 'a-5', 'b-1', 'b-2', 'b-4', 'b-6'}
+        fleet.network.is_lost = lambda _, target: target in unreachable
         fleet.daemons['a-1'].mesh.announce_upstream(upstream('draining'))
         await trio.sleep(0.8)
         fleet.network.is_lost = lambda *_: False
@@ -133,7 +134,7 @@
     run_fleet(scenario)
 
 
-def test_a_daemon_that_leaves_is_gone_at_once(run_fleet):
+def test_a_leaving_daemon_is_removed_at_once(run_fleet):
     async def scenario(fleet):
         await start_two_zones(fleet)
         await fleet.daemons['a-1'].mesh.leave()
@@ -151,12 +152,13 @@
     run_fleet(scenario)
 
 
-def test_a_whole_mesh_leaves_at_once(run_fleet):
-    """Every daemon is stopped in the same moment, as the demo does.
+def test_all_daemons_can_leave_at_once(run_fleet):
+    """All daemons are stopped at the same moment, as in the demo.
 
-    A leaving daemon tells the other availability zone, whose last member
-    leaves between its look at the table and its choice of a gateway. Each
-    must still be able to leave, and to say who it is while it finishes.
+    A leaving daemon contacts the other availability zone, whose last member
+    may leave between the check of the table and the choice of a gateway. Each
+    daemon must still be able to leave, and to identify itself while it
+    finishes.
     """
 
     async def scenario(fleet):
@@ -174,12 +176,12 @@
     run_fleet(scenario)
 
 
-def test_a_zone_without_the_log_converges_by_another(run_fleet):
-    """Zone b loses the log, but not zone a.
+def test_a_zone_without_the_log_converges_through_another(run_fleet):
+    """Zone b loses the log, but not the connection to zone a.
 
-    Its readers fail, and its proxies would keep the old configuration for
-    as long as the outage. Gateways of zone a tell how far they are, and
-    those of zone b fetch and push what they lack.
+    Its readers fail, and its proxies would keep the old configuration
+    throughout the outage. Gateways of zone a announce their offset, and those
+    of zone b fetch and push what is missing.
     """
 
     async def scenario(fleet):
@@ -189,14 +191,15 @@
         await trio.sleep(10)
         for _ in range(3):
             offset = fleet.publish()
-            await wait_until(lambda: fleet.all_at(offset), within=WITHIN_3_S)
+            await wait_until(lambda: fleet.all_at(offset), within=THREE_SECONDS)
 
     run_fleet(scenario)
 
 
-def test_a_gateway_pushes_what_it_fetched(run_fleet):
-    """In a zone without the log, one gateway fetches a ticket from another
-    zone. The others must not wait until each has fetched it in turn.
+def test_a_gateway_pushes_fetched_records(run_fleet):
+    """A zone without the log gets a ticket through one of its gateways.
+
+    The others must not wait until each has fetched it separately.
     """
 
     async def scenario(fleet):
@@ -212,7 +215,7 @@
     run_fleet(scenario)
 
 
-def test_the_log_goes_down_after_one_reader_has_the_change(run_fleet):
+def test_a_ticket_reaches_all_when_the_log_fails_after_one_read(run_fleet):
     async def scenario(fleet):
         logs = {zone: LogConnection(fleet.log) for zone in 'ab'}
         await start_two_zones(fleet, logs=logs)
@@ -223,16 +226,16 @@
             step=timedelta(milliseconds=1),
         )
         fleet.log.is_down = True
-        await wait_until(lambda: fleet.all_at(offset), within=WITHIN_3_S)
+        await wait_until(lambda: fleet.all_at(offset), within=THREE_SECONDS)
 
     run_fleet(scenario)
 
 
-def test_a_cut_zone_serves_on_and_mends_after(run_fleet):
-    """Zone b is cut off from everyone and from the log.
+def test_a_cut_zone_converges_after_the_partition(run_fleet):
+    """Zone b is cut off from all other daemons and from the log.
 
-    It keeps what it has and its own members; once back it has all tickets
-    and all changes of upstreams, though no push was ever repeated.
+    It keeps its state and its own members. After the partition it gets all
+    tickets and all topics, although no push is repeated.
     """
 
     async def scenario(fleet):
@@ -253,21 +256,21 @@
         assert not any(d.mesh.entries('moves') for d in daemons_of(fleet, 'a'))
         for daemon in daemons_of(fleet, 'b'):
             daemon.mesh.set_cut_zones(frozenset())
-        await wait_until(lambda: fleet.all_at(offset), within=WITHIN_10_S)
+        await wait_until(lambda: fleet.all_at(offset), within=TEN_SECONDS)
         await wait_until(
             lambda: all(d.mesh.entries('moves') for d in daemons_of(fleet)),
-            within=WITHIN_10_S,
+            within=TEN_SECONDS,
         )
 
     run_fleet(scenario)
 
 
-def test_halves_of_a_zone_find_each_other_again(run_fleet):
-    """A zone splits for so long that each half holds the other for dead.
+def test_halves_of_a_partitioned_zone_rejoin(run_fleet):
+    """A zone is partitioned until each half counts the other as dead.
 
-    Nobody probes the dead, so after the partition each half would live on
-    alone. Now and then each daemon tries someone it holds for dead, who
-    then refutes it under a higher incarnation.
+    Dead members are not probed in turn, so the halves would stay apart after
+    the partition. Each daemon regularly tries a dead member, which then
+    refutes its status under a higher incarnation.
     """
 
     async def scenario(fleet):
@@ -283,22 +286,26 @@
     run_fleet(scenario)
 
 
-def test_the_first_reader_loses_the_log(run_fleet):
-    """Only the first reader of a zone cannot reach the log.
+def test_the_second_reader_covers_a_primary_without_the_log(run_fleet):
+    """Only the primary reader of a zone cannot reach the log.
 
-    It is alive, so nobody takes its place, and waits for a log that does
-    not answer. The second one reads too, and pushes what did not come to it
-    by the tree within its short delay.
+    It is alive, so no other daemon replaces it, and it waits for the log. The
+    second reader pushes whatever has not arrived by the tree within its short
+    delay.
     """
 
     async def scenario(fleet):
-        views = {f'a-{place}': LogConnection(fleet.log) for place in range(16)}
-        for name, view in views.items():
-            await fleet.start(name, zone='a', seeds=('a-0',), log=view)
+        log_connections = {
+            f'a-{place}': LogConnection(fleet.log) for place in range(16)
+        }
+        for name, log_connection in log_connections.items():
+            await fleet.start(
+                name, zone='a', seeds=('a-0',), log=log_connection
+            )
         await wait_until(lambda: fleet.all_know(16))
         await trio.sleep(10)
-        first = rank(views, 'reader')[0]
-        views[first].is_down = True
+        first = rank(log_connections, 'reader')[0]
+        log_connections[first].is_down = True
         await trio.sleep(10)
         offset = fleet.publish()
         await wait_until(
@@ -308,9 +315,10 @@
     run_fleet(scenario)
 
 
-def test_news_of_a_zone_crosses_at_once(run_fleet):
-    """A veto or a drain in one zone reaches all others without the log,
-    long before the gateways' probes would bring it there.
+def test_updates_reach_other_zones_at_once(run_fleet):
+    """A veto or a drain in one zone reaches the others without the log.
+
+    It must arrive long before the probes of the gateways would bring it.
     """
 
     async def scenario(fleet):
@@ -329,12 +337,12 @@
     run_fleet(scenario)
 
 
-def test_a_dead_child_in_the_tree_is_stepped_over(run_fleet):
-    """Three daemons died a moment ago, and no other knows it yet.
+def test_a_dead_child_in_the_tree_is_replaced(run_fleet):
+    """Some daemons have just died, and no other daemon knows it yet.
 
-    Whoever is below them in the tree would miss the push. The parent gets
-    no answer, gives their part to the next one, and all have the ticket
-    while nobody had to fetch it.
+    Daemons below them in the tree would miss the push. The parent gets no
+    answer and gives the branch to the next delegate, so all daemons get the
+    ticket and hardly any has to fetch it.
     """
 
     async def scenario(fleet):
@@ -356,11 +364,11 @@
     run_fleet(scenario)
 
 
-def test_one_broken_path_makes_nobody_suspect(run_fleet, caplog):
-    """Two daemons cannot reach each other, but everyone else can.
+def test_one_broken_path_causes_no_suspicion(run_fleet, caplog):
+    """Two daemons cannot reach each other, but all others can.
 
-    Without the word of others each would call the other dead, and callers
-    would lose an upstream that works.
+    Without indirect probes each would declare the other dead, and callers
+    would lose a working upstream.
     """
 
     async def scenario(fleet):
@@ -375,11 +383,11 @@
     assert 'suspected' not in caplog.text
 
 
-def test_a_paused_daemon_buries_nobody(run_fleet, caplog):
+def test_a_paused_daemon_declares_nobody_dead(run_fleet, caplog):
     """A daemon is paused while it suspects another one.
 
-    When it wakes, the other's time to refute seems to be over, though the
-    refutation could not be heard. It gets the time again.
+    When it resumes, the suspicion timeout seems to have passed, although a
+    refutation could not have arrived. The timeout starts again.
     """
 
     async def scenario(fleet):
@@ -409,11 +417,11 @@
         return super().monotonic() + self.pause
 
 
-def test_a_daemon_that_catches_up_is_not_ready_yet(run_fleet):
-    """A fresh daemon reads a long log page by page.
+def test_a_daemon_is_not_ready_while_it_catches_up(run_fleet):
+    """A new daemon reads a long log page by page.
 
-    Ready after the first page, it would answer callers from services of
-    long ago.
+    If it were ready after the first page, it would serve callers from an
+    outdated list of services.
     """
 
     async def scenario(fleet):
@@ -427,29 +435,29 @@
     run_fleet(scenario)
 
 
-def test_a_daemon_left_behind_by_the_log_says_so(run_fleet):
-    """The log forgets what a daemon had not read, while it was cut off."""
+def test_a_daemon_is_not_ready_after_unread_records_expired(run_fleet):
+    """Records expire that a daemon, cut off from the log, had not read."""
 
     async def scenario(fleet):
-        view = LogConnection(fleet.log)
-        alone = await fleet.start('a-0', zone='a', seeds=(), log=view)
+        log_connection = LogConnection(fleet.log)
+        alone = await fleet.start('a-0', zone='a', seeds=(), log=log_connection)
         await wait_until(lambda: alone.mesh.ready)
-        view.is_down = True
+        log_connection.is_down = True
         await trio.sleep(10)
         for _ in range(30):
             fleet.publish()
-        view.is_down = False
+        log_connection.is_down = False
         await wait_until(lambda: not alone.mesh.ready)
         assert alone.offset == -1
 
     run_fleet(scenario, log=MemoryLog(max_records=10))
 
 
-def test_islands_find_each_other(run_fleet):
-    """A zone is cut in two, and one half is replaced with stale seeds.
+def test_separate_groups_of_a_zone_join(run_fleet):
+    """A zone is partitioned, and new daemons have only stale seeds.
 
-    The fresh daemons know each other and nobody else, and nobody knows
-    them, so no probe would ever join the two.
+    The new daemons know only each other, and no other daemon knows them, so
+    that no probe would join the two groups.
     """
 
     async def scenario(fleet):
@@ -467,11 +475,11 @@
     run_fleet(scenario)
 
 
-def test_stale_seeds_do_not_keep_a_daemon_out(run_fleet):
+def test_a_daemon_with_stale_seeds_joins(run_fleet):
     """Every daemon that the seeds name was replaced.
 
-    A fresh daemon would stay alone. It looks up addresses that the mesh
-    keeps on the log.
+    A new daemon would stay alone. It reads addresses that the mesh keeps on
+    the log.
     """
 
     async def scenario(fleet):
@@ -495,11 +503,11 @@
     run_fleet(scenario)
 
 
-def test_all_daemons_are_replaced_after_records_expired(run_fleet):
-    """All VMs are replaced, and the log has lost its oldest records.
+def test_a_new_daemon_starts_from_a_checkpoint_after_records_expired(run_fleet):
+    """All VMs are replaced after the oldest records on the log expired.
 
-    Without a checkpoint the new ones would have to start from a later
-    record and run a state that lacks services.
+    Without a checkpoint the new daemons would start from a later record, with
+    a state that lacks services.
     """
 
     async def scenario(fleet):
@@ -511,17 +519,18 @@
         before = fleet.daemons['a-0'].configuration.head()
         for name in tuple(fleet.daemons):
             fleet.kill(name)
-        fresh = await fleet.start('new', zone='a', seeds=('a-0',))
-        await wait_until(lambda: fresh.mesh.ready)
-        assert fresh.configuration.head() == before
+        new_daemon = await fleet.start('new', zone='a', seeds=('a-0',))
+        await wait_until(lambda: new_daemon.mesh.ready)
+        assert new_daemon.configuration.head() == before
 
     run_fleet(scenario, log=MemoryLog(max_records=40))
 
 
-def test_checkpoints_stay_fresh_while_nothing_changes(run_fleet):
-    """No ticket comes for long, and the only checkpoint expires as well.
+def test_checkpoints_are_renewed_while_nothing_changes(run_fleet):
+    """No ticket is published for long, and checkpoints expire too.
 
-    A fresh daemon would then find neither records nor a checkpoint.
+    Without a renewed checkpoint, a new daemon would find neither records nor a
+    checkpoint.
     """
 
     async def scenario(fleet):
@@ -556,32 +565,32 @@
     run_fleet(scenario, log=MemoryLog(max_records=10))
 
 
-def test_a_paused_writer_leaves_an_old_checkpoint(run_fleet):
-    """A writer wakes from a pause and appends what it had prepared.
+def test_an_old_checkpoint_of_a_paused_writer_is_ignored(run_fleet):
+    """A writer resumes after a pause and appends a prepared checkpoint.
 
-    Its checkpoint comes last on the stream but is of an older state; a
-    fresh daemon that took the last one would ask for expired records.
+    It is the last record on the stream, but has an older state. A new daemon
+    that used it would request expired records.
     """
 
     async def scenario(fleet):
         writer = await fleet.start('a-0', zone='a', seeds=())
         fleet.publish()
         await wait_until(lambda: writer.offset == 0)
-        old = msgspec_record(writer.configuration)
+        old = encode_checkpoint(writer.configuration)
         for _ in range(40):
             offset = fleet.publish()
             await trio.sleep(1)
         await trio.sleep(90)
         fleet.kill('a-0')
         fleet.log.put(CHECKPOINTS_STREAM, old)
-        fresh = await fleet.start('a-1', zone='a', seeds=())
-        await wait_until(lambda: fresh.mesh.ready)
-        assert fresh.offset == offset
+        new_daemon = await fleet.start('a-1', zone='a', seeds=())
+        await wait_until(lambda: new_daemon.mesh.ready)
+        assert new_daemon.offset == offset
 
     run_fleet(scenario, log=MemoryLog(max_records=20))
 
 
-def msgspec_record(configuration):
+def encode_checkpoint(configuration):
     return msgspec.msgpack.encode(
         CheckpointRecord(
             offset=configuration.state.offset, body=configuration.checkpoint()
@@ -589,23 +598,29 @@
     )
 
 
-class HolesLog(MemoryLog):
+class LogWithMissingRecord(MemoryLog):
     """A log that leaves out a record."""
 
-    hole = 3
+    missing_offset = 3
 
     async def read(self, stream, start, **options):
         page = await super().read(stream, start, **options)
         if stream != CONFIG_STREAM or isinstance(page, Failure):
             return page
-        whole = page.unwrap()
-        entries = tuple(e for e in whole.entries if e.offset != self.hole)
+        complete_page = page.unwrap()
+        entries = tuple(
+            e for e in complete_page.entries if e.offset != self.missing_offset
+        )
         return Success(
-            LogPage(entries=entries, oldest=whole.oldest, end=whole.end)
+            LogPage(
+                entries=entries,
+                oldest=complete_page.oldest,
+                end=complete_page.end,
+            )
         )
 
 
-def test_a_record_that_the_log_left_out_is_not_skipped(run_fleet):
+def test_a_missing_record_is_not_skipped(run_fleet):
     async def scenario(fleet):
         daemon = await fleet.start('a-0', zone='a', seeds=())
         for _ in range(6):
@@ -613,18 +628,18 @@
         await trio.sleep(20)
         assert daemon.offset == 2
         assert daemon.mesh.stats().gaps > 0
-        fleet.log.hole = None
+        fleet.log.missing_offset = None
         await wait_until(lambda: daemon.offset == 5)
 
-    run_fleet(scenario, log=HolesLog())
+    run_fleet(scenario, log=LogWithMissingRecord())
 
 
-def test_half_a_zone_returns_at_once(run_fleet):
-    """Half of a zone dies and comes back with nothing, all at one moment.
+def test_transfers_are_shared_when_half_a_zone_restarts(run_fleet):
+    """Half of a zone fails and restarts without state, all at one moment.
 
-    Each fetches the state and the table from someone. The survivors serve
-    a bounded number each second and send the others on, so none of them
-    carries the herd alone.
+    Each new daemon fetches the state and the table of members from a peer. The
+    survivors serve a bounded number of transfers per second and refer the rest
+    to other peers, so that none of them carries the whole load.
     """
 
     async def scenario(fleet):
@@ -637,25 +652,25 @@
             fleet.kill(f'a-{place}')
         await wait_until(lambda: fleet.all_know(12))
         offset = fleet.publish()
-        served = transfers_of(fleet)
+        served = count_transfers(fleet)
         for place in range(12, 24):
             await fleet.start(f'a-{place}', zone='a', seeds=('a-0', 'a-1'))
-        await wait_until(lambda: fleet.all_at(offset), within=WITHIN_10_S)
+        await wait_until(lambda: fleet.all_at(offset), within=TEN_SECONDS)
         await wait_until(lambda: fleet.all_know(24))
-        grown = [
+        added_transfers = [
             count - served.get(name, 0)
-            for name, count in transfers_of(fleet).items()
+            for name, count in count_transfers(fleet).items()
         ]
-        assert max(grown) <= 12, grown
+        assert max(added_transfers) <= 12, added_transfers
         assert sum(d.mesh.stats().transfers_refused for d in daemons_of(fleet))
 
     run_fleet(scenario, settings=MeshSettings(transfers_per_second=2))
 
 
-def test_a_busy_daemon_sends_others_on(run_fleet):
-    """Thirty daemons ask one for its records in the same moment.
+def test_a_busy_daemon_refers_others_to_its_peers(run_fleet):
+    """A daemon gets thirty requests for its records at the same moment.
 
-    It serves a few, and tells the rest at once whom to ask in its stead.
+    It serves a few, and refers the rest to its peers at once.
     """
 
     async def scenario(fleet):
@@ -675,15 +690,15 @@
     run_fleet(scenario, settings=MeshSettings(transfers_per_second=5))
 
 
-def transfers_of(fleet):
+def count_transfers(fleet):
     return {
         name: daemon.mesh.stats().transfers
         for name, daemon in fleet.daemons.items()
     }
 
 
-def test_a_configuration_takes_nothing_older():
-    """Entries that come twice, late or with a gap between them."""
+def test_a_configuration_ignores_older_records():
+    """Records that arrive twice, late or with a gap between them."""
     configuration = Configuration()
     entries = tuple(
         Entry(offset=place, at=EPOCH, body=b'broken') for place in range(4)
@@ -698,7 +713,7 @@
     assert configuration.state.offset == 3
     assert configuration.records_after(1, 10) == entries[2:]
     assert isinstance(configuration.restore(old[:-5]), Failure)
-    fresh = Configuration()
-    fresh.restore(configuration.checkpoint())
-    assert fresh.head() == configuration.head()
-    assert fresh.records_after(1, 10) is None
+    new_daemon = Configuration()
+    new_daemon.restore(configuration.checkpoint())
+    assert new_daemon.head() == configuration.head()
+    assert new_daemon.records_after(1, 10) is None
--- a/libs/mesh/tests/test_mesh.py
+++ b/libs/mesh/tests/test_mesh.py
@@ -32,7 +32,7 @@
 
 
 def test_tickets_and_members_spread_over_pynng():
-    """Tickets and members spread over pynng, in one process and without ports."""
+    """Tickets and members spread over pynng, which here uses no ports."""
 
     async def main():
         log = MemoryLog()
