--- a/libs/mesh/src/verbenamill_mesh/checkpoints.py
+++ b/libs/mesh/src/verbenamill_mesh/checkpoints.py
@@ -152,8 +152,8 @@
     def _is_expiring(self, offset: Offset, delay_factor: float) -> bool:
         """Whether the records after the newest checkpoint expire soon.
 
-        True once the checkpoint is older than half of the records on the log,
-        so that the other half is left whatever the retention is.
+        True once the checkpoint is in the older half of what the log keeps, so
+        that about half of it is left, whatever the retention is.
         """
         assert self._newest is not None, 'no checkpoint has been read yet'
         new_records = offset - self._newest.offset
--- a/libs/mesh/src/verbenamill_mesh/configuration.py
+++ b/libs/mesh/src/verbenamill_mesh/configuration.py
@@ -134,7 +134,7 @@
         for route in state.snapshot.routes.values():
             if route.service not in services:
                 return Failure(
-                    f'route {route.name} of the checkpoint has no service'
+                    f'checkpoint route {route.name} has an unknown service'
                 )
         self._replace_state(state)
         self._entries.clear()
@@ -145,10 +145,10 @@
         # Last check before a proxy would use an older version, whatever the
         # cause: callers would see a finished move undone.
         assert state.offset > self._state.offset, (
-            'the state offset never decreases'
+            'a new state has a higher offset'
         )
         assert state.snapshot.version >= self._state.snapshot.version, (
-            'the version of a proxy never decreases'
+            'a proxy never changes to an older version'
         )
         assert_consistent(state.snapshot)
         self._state = state
--- a/libs/mesh/src/verbenamill_mesh/log_reader.py
+++ b/libs/mesh/src/verbenamill_mesh/log_reader.py
@@ -93,8 +93,9 @@
         :returns: whether the read succeeded.
         """
         self._stats.count_log_request(CONFIG_STREAM)
-        # The first read does not wait: a log without new records would delay
-        # readiness by a whole long poll, although the daemon has caught up.
+        # Reads do not wait before the daemon is ready: a log without new
+        # records would delay readiness by a whole long poll, although the
+        # daemon has caught up.
         is_ready = self._stats.ready
         outcome = await self._log.read(
             CONFIG_STREAM,
--- a/libs/mesh/src/verbenamill_mesh/members.py
+++ b/libs/mesh/src/verbenamill_mesh/members.py
@@ -153,7 +153,10 @@
         return self._apply_record(update, received)
 
     def alive(self) -> dict[VmId, Member]:
-        """Members that are alive; do not modify, replaced on each change."""
+        """Members that are alive.
+
+        :returns: a table that is replaced on each change; do not modify it.
+        """
         if self._alive is None:
             self._alive = {}
             for found in self._alive_by_zone.values():
