--- a/libs/mesh/src/verbenamill_mesh/messages.py
+++ b/libs/mesh/src/verbenamill_mesh/messages.py
@@ -1,22 +1,22 @@
-"""Requests and answers between daemons; the codec is msgspec's MessagePack.
+"""Requests and answers between daemons, encoded as MessagePack by msgspec.
 
-Fields are sent by place, so a new field goes last and has a default.
+Fields are encoded by position, so a new field goes last and has a default.
 """
 
 import msgspec
 from msgspec import Struct
 
+from verbenamill_mesh.ring import Arc
+from verbenamill_mesh.store import KeyValueHash, Update
 from verbenamill_model import Entry
 from verbenamill_model.typing import AvailabilityZone, Offset, VmId
-from verbenamill_mesh.ring import Arc
-from verbenamill_mesh.store import Mark, Update
 
-#: A push to one daemon only.
-NOWHERE = Arc(0, 0)
+#: Arc of a push that the receiver does not forward.
+EMPTY_ARC = Arc(0, 0)
 
 
-class Standing(Struct, frozen=True, array_like=True):
-    """What a daemon has: compared to find out who lacks something.
+class StateSummary(Struct, frozen=True, array_like=True):
+    """Summary of a daemon's state, by which two daemons compare theirs.
 
     :param root: digest over members and topics.
     :param ready: whether its configuration is known to be caught up.
@@ -29,118 +29,129 @@
 
 
 class Probe(Struct, frozen=True, array_like=True, tag='probe'):
-    """Are you there, and do we have the same?
+    """Check that a daemon is alive, and compare states with it.
 
     :param address: where the sender listens.
     """
 
     address: str
-    standing: Standing
+    summary: StateSummary
 
 
-class ProbeFor(Struct, frozen=True, array_like=True, tag='probe-for'):
+class IndirectProbe(Struct, frozen=True, array_like=True, tag='probe-for'):
     """Probe a third daemon that the sender cannot reach."""
 
     address: str
 
 
 class Compare(Struct, frozen=True, array_like=True, tag='compare'):
-    """Digests of all buckets of the sender's store."""
+    """Compare the digests of all buckets of the sender's store."""
 
     buckets: bytes
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag='fetch'):
-    """Ask for the values of keys."""
+    """Request the values of keys."""
 
     keys: tuple[bytes, ...]
 
 
 class Push(Struct, frozen=True, array_like=True, tag='push'):
-    """News for the receiver, and for those on its arc.
+    """Records and updates for the receiver and the members on its arc.
 
-    :param crossed: whether it came from another availability zone, so that
-        a gateway does not send it across again.
+    :param is_cross_zone: whether it came from another availability zone, so
+        that a gateway does not send it to other zones again.
     """
 
     entries: tuple[Entry, ...] = ()
     updates: tuple[Update, ...] = ()
-    arc: Arc = NOWHERE
-    crossed: bool = False
+    arc: Arc = EMPTY_ARC
+    is_cross_zone: bool = False
 
 
 class Pull(Struct, frozen=True, array_like=True, tag='pull'):
-    """Ask for the records that follow an offset."""
+    """Request the records that follow an offset."""
 
     after: Offset
 
 
-class Note(Struct, frozen=True, array_like=True, tag='note'):
-    """A message of the application for the receiver alone."""
+class ApplicationMessage(Struct, frozen=True, array_like=True, tag='note'):
+    """A message of the application for the receiver only."""
 
     kind: str
     body: bytes
 
 
-Request = Probe | ProbeFor | Compare | Fetch | Push | Pull | Note
+Request = (
+    Probe | IndirectProbe | Compare | Fetch | Push | Pull | ApplicationMessage
+)
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """A request and who sends it."""
+    """A request and its sender."""
 
     sender: VmId
     availability_zone: AvailabilityZone
     request: Request
 
 
-class Met(Struct, frozen=True, array_like=True, tag='met'):
+class ProbeReply(Struct, frozen=True, array_like=True, tag='met'):
     """Answer to a probe."""
 
-    standing: Standing
+    summary: StateSummary
 
 
-class Reached(Struct, frozen=True, array_like=True, tag='reached'):
-    """Whether a probe for another daemon was answered."""
+class IndirectProbeReply(Struct, frozen=True, array_like=True, tag='reached'):
+    """Whether the probed third daemon answered."""
 
     reached: bool
 
 
-class Differences(Struct, frozen=True, array_like=True, tag='differences'):
-    """Buckets that differ, and the marks of the keys in them."""
+class DifferencesReply(Struct, frozen=True, array_like=True, tag='differences'):
+    """Buckets that differ, and the hashes of the keys and values in them."""
 
     buckets: tuple[int, ...]
-    marks: tuple[Mark, ...]
+    hashes: tuple[KeyValueHash, ...]
 
 
-class News(Struct, frozen=True, array_like=True, tag='news'):
-    """Values; after a push, those that are newer than what was pushed."""
+class ValuesReply(Struct, frozen=True, array_like=True, tag='news'):
+    """Values; after a push, those newer than the pushed ones."""
 
     updates: tuple[Update, ...] = ()
 
 
-class Tail(Struct, frozen=True, array_like=True, tag='tail'):
-    """Records that follow the offset asked for."""
+class RecordsReply(Struct, frozen=True, array_like=True, tag='tail'):
+    """Records that follow the requested offset."""
 
     entries: tuple[Entry, ...]
 
 
-class Checkpoint(Struct, frozen=True, array_like=True, tag='checkpoint'):
-    """A whole state, since the records asked for are no longer kept."""
+class CheckpointReply(Struct, frozen=True, array_like=True, tag='checkpoint'):
+    """The whole state, because the requested records are no longer kept."""
 
     body: bytes
 
 
-class Busy(Struct, frozen=True, array_like=True, tag='busy'):
-    """Too many transfers; ask the daemon at this address, if any."""
+class BusyReply(Struct, frozen=True, array_like=True, tag='busy'):
+    """Too many transfers; the address, if any, names a daemon to ask."""
 
     address: str
 
 
-class Done(Struct, frozen=True, array_like=True, tag='done'):
+class Acknowledgement(Struct, frozen=True, array_like=True, tag='done'):
     """The request was handled."""
 
 
-Reply = Met | Reached | Differences | News | Tail | Checkpoint | Busy | Done
+Reply = (
+    ProbeReply
+    | IndirectProbeReply
+    | DifferencesReply
+    | ValuesReply
+    | RecordsReply
+    | CheckpointReply
+    | BusyReply
+    | Acknowledgement
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _envelope_decoder = msgspec.msgpack.Decoder(Envelope)
@@ -153,7 +164,7 @@
 
 
 def decode_envelope(body: bytes) -> Envelope | None:
-    """Decode a request, or ``None`` when it cannot be read."""
+    """Decode a request, or return ``None`` when it is invalid."""
     try:
         return _envelope_decoder.decode(body)
     except msgspec.MsgspecError:
@@ -161,7 +172,7 @@
 
 
 def decode_reply(body: bytes) -> Reply | None:
-    """Decode a reply, or ``None`` when it cannot be read."""
+    """Decode a reply, or return ``None`` when it is invalid."""
     try:
         return _reply_decoder.decode(body)
     except msgspec.MsgspecError:
@@ -169,5 +180,5 @@
 
 
 def kind_of(message: Request | Reply) -> str:
-    """Name under which traffic is counted."""
+    """Name under which a message is counted."""
     return str(message.__struct_config__.tag)
--- a/libs/mesh/src/verbenamill_mesh/ring.py
+++ b/libs/mesh/src/verbenamill_mesh/ring.py
@@ -1,7 +1,7 @@
-"""Places of daemons on a ring, and what follows from them.
+"""Positions of daemons on a hash ring, and the roles derived from them.
 
-Each daemon computes these from its own table of members. Two tables that
-differ give two answers for a while; every use tolerates that.
+Each daemon computes these from its own table of members. While two tables
+differ, so do the results; every use tolerates that.
 """
 
 from collections.abc import Iterable, Sequence
@@ -12,48 +12,52 @@
 
 from verbenamill_model.typing import VmId
 
-#: Positions on the ring; below 2**63 so that any codec carries them.
-RING = 2**60
+#: Number of positions; below 2**63 so that any codec can carry them.
+RING_SIZE = 2**60
 
 
 class Arc(Struct, frozen=True, array_like=True):
-    """Part of the ring: ``length`` positions from ``start`` on."""
+    """Part of the ring: ``length`` positions starting at ``start``."""
 
     start: int
     length: int
 
-    def has(self, position: int) -> bool:
+    def contains(self, position: int) -> bool:
         """Whether a position lies on the arc."""
-        return (position - self.start) % RING < self.length
+        return (position - self.start) % RING_SIZE < self.length
 
     def without(self, position: int) -> 'tuple[Arc, ...]':
         """The arc without one position on it."""
-        if not self.has(position):
+        if not self.contains(position):
             return (self,)
-        if self.length == RING:
-            # In one piece: a piece without a member known here would have
-            # nobody to answer for those that are not known.
-            return (Arc((position + 1) % RING, RING - 1),)
-        before = (position - self.start) % RING
+        if self.length == RING_SIZE:
+            # The rest stays one arc. An arc without a member known to this
+            # daemon would have no delegate, and members unknown to this daemon
+            # on it would not be reached.
+            return (Arc((position + 1) % RING_SIZE, RING_SIZE - 1),)
+        before = (position - self.start) % RING_SIZE
         after = self.length - before - 1
-        parts = (Arc(self.start, before), Arc((position + 1) % RING, after))
+        parts = (
+            Arc(self.start, before),
+            Arc((position + 1) % RING_SIZE, after),
+        )
         return tuple(part for part in parts if part.length)
 
 
-#: All of it.
-WHOLE = Arc(0, RING)
+#: The whole ring.
+WHOLE_RING = Arc(0, RING_SIZE)
 
 
 def position_of(member: VmId) -> int:
-    """Place of a member on the ring."""
-    return _hash_of('ring', member) % RING
+    """Position of a member on the ring."""
+    return _hash_of('ring', member) % RING_SIZE
 
 
 def rank(members: Iterable[VmId], purpose: str) -> list[VmId]:
-    """Members by rendezvous hash, the chosen one first.
+    """Order members by rendezvous hash, the preferred one first.
 
-    Every daemon with the same members gets the same order with no election,
-    and one member that goes moves nobody else's turn.
+    Daemons with the same members get the same order without an election, and
+    the departure of a member does not change the order of the others.
     """
     return sorted(members, key=lambda member: _hash_of(purpose, member))
 
@@ -61,29 +65,30 @@
 def neighbours(own: VmId, members: Iterable[VmId]) -> tuple[VmId, ...]:
     """Members at doubling distances on the ring, the nearest first.
 
-    There are about log2 of the members, they rarely change, and news that
-    each passes to one of them per period is everywhere in as many periods.
+    Their number is about log2 of the number of members, and they rarely
+    change. A rumour that each daemon passes to one of them per period reaches
+    all members within about as many periods.
     """
     start = position_of(own)
-    others = _sort_from(start, (found for found in members if found != own))
+    others = _sort_from(start, (member for member in members if member != own))
     if not others:
         return ()
     distances = [_distance(start, other) for other in others]
-    found: dict[VmId, None] = dict.fromkeys(others[:2])
-    step = RING // 2
+    chosen: dict[VmId, None] = dict.fromkeys(others[:2])
+    step = RING_SIZE // 2
     while step > distances[0]:
         for other, distance in zip(others, distances, strict=True):
             if distance >= step:
-                found[other] = None
+                chosen[other] = None
                 break
         step //= 2
-    return tuple(found)
+    return tuple(chosen)
 
 
 class Branch(Struct, frozen=True):
-    """One child's part of a broadcast.
+    """The part of a broadcast that one child forwards.
 
-    :param delegates: the child and those to try in its stead.
+    :param delegates: the child, then its substitutes in order.
     """
 
     arc: Arc
@@ -97,12 +102,12 @@
 ) -> tuple[Branch, ...]:
     """Divide an arc into at most ``arity`` branches that cover it.
 
-    The arcs, not lists of members, say who answers for whom: a member that
-    only the child knows of is still reached.
+    Responsibility is given by arcs and not by lists of members, so that a
+    member known only to the child is still reached.
     """
     inside = _sort_from(
         arc.start,
-        (found for found in members if arc.has(position_of(found))),
+        (member for member in members if arc.contains(position_of(member))),
     )
     size = -(-len(inside) // arity) or 1
     groups = [
@@ -122,7 +127,7 @@
 def _length(start: int, end: int, arc: Arc) -> int:
     if start == arc.start and end == arc.start + arc.length:
         return arc.length
-    return (end - start) % RING
+    return (end - start) % RING_SIZE
 
 
 def _sort_from(start: int, members: Iterable[VmId]) -> Sequence[VmId]:
@@ -130,7 +135,7 @@
 
 
 def _distance(start: int, member: VmId) -> int:
-    return (position_of(member) - start) % RING
+    return (position_of(member) - start) % RING_SIZE
 
 
 @lru_cache(maxsize=2**17)
--- a/libs/mesh/src/verbenamill_mesh/testing.py
+++ b/libs/mesh/src/verbenamill_mesh/testing.py
@@ -1,6 +1,6 @@
-"""A network and a log in memory, for tests on a clock of their own.
+"""A network and a log in memory, for tests on a mock clock.
 
-Both fail on demand, in the ways that the real ones do.
+Both fail on request, in the ways that the real ones do.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 import trio
 from returns.result import Failure, Result, Success
 
-from verbenamill_mesh.transport import Answering, Link
+from verbenamill_mesh.transport import Link, RequestCallback
 from verbenamill_model import Entry
 from verbenamill_model.typing import Offset
 from verbenamill_runtime import LogError, LogFault, LogPage
@@ -28,9 +28,9 @@
 
 
 class MemoryNetwork:
-    """Listeners by address.
+    """A network in memory: the request callbacks by address.
 
-    :param delay: one way.
+    :param delay: mean delay of one direction.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
     ) -> None:
         self._random = random
         self._delay = delay.total_seconds()
-        self._listeners: dict[str, Answering] = {}
+        self._listeners: dict[str, RequestCallback] = {}
         self._silent: set['_MemoryLink'] = set()
         self._links: set['_MemoryLink'] = set()
         self.is_lost: IsLost = lose_nothing
@@ -51,41 +51,41 @@
         return MemoryTransport(self, address)
 
     def silence_links(self) -> None:
-        """Let every open connection go silent for good."""
+        """Drop all further messages on the connections that are open now."""
         self._silent |= self._links
 
-    def listen(self, address: str, answering: Answering) -> None:
+    def listen(self, address: str, on_request: RequestCallback) -> None:
         """Open an address."""
-        self._listeners[address] = answering
+        self._listeners[address] = on_request
 
     def close(self, address: str) -> None:
         """Close an address."""
         self._listeners.pop(address, None)
 
     def add(self, link: '_MemoryLink') -> None:
-        """Note an open connection."""
+        """Register an open connection."""
         self._links.add(link)
 
     def remove(self, link: '_MemoryLink') -> None:
-        """Forget a connection."""
+        """Remove a connection."""
         self._links.discard(link)
         self._silent.discard(link)
 
-    async def carry(self, link: '_MemoryLink', body: bytes) -> bytes:
-        """Carry a request and its answer; lost ones wait for ever."""
-        await self._travel(link, link.source, link.target)
-        answering = self._listeners.get(link.target)
-        if answering is None:
+    async def deliver(self, link: '_MemoryLink', body: bytes) -> bytes:
+        """Deliver a request and its answer; lost ones wait for ever."""
+        await self._transmit(link, link.source, link.target)
+        on_request = self._listeners.get(link.target)
+        if on_request is None:
             await trio.sleep_forever()
             raise AssertionError('trio sleeps for ever')
-        reply = await answering(body)
+        reply = await on_request(body)
         if reply is None:
             await trio.sleep_forever()
             raise AssertionError('trio sleeps for ever')
-        await self._travel(link, link.target, link.source)
+        await self._transmit(link, link.target, link.source)
         return reply
 
-    async def _travel(
+    async def _transmit(
         self,
         link: '_MemoryLink',
         source: str,
@@ -110,7 +110,7 @@
 
     async def request(self, body: bytes) -> Result[bytes, str]:
         """Send a request and wait for its answer."""
-        return Success(await self._network.carry(self, body))
+        return Success(await self._network.deliver(self, body))
 
     def close(self) -> None:
         """Close the connection."""
@@ -127,12 +127,12 @@
     async def serve(
         self,
         address: str,
-        answering: Answering,
+        on_request: RequestCallback,
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
         """Answer requests until cancelled."""
-        self._network.listen(address, answering)
+        self._network.listen(address, on_request)
         task_status.started()
         try:
             await trio.sleep_forever()
@@ -140,18 +140,18 @@
             self._network.close(address)
 
     def dial(self, address: str) -> Link:
-        """Begin a connection."""
+        """Start a connection."""
         return _MemoryLink(self._network, self._address, address)
 
 
 class MemoryLog:
-    """Streams in memory, with retention by count and an outage switch.
+    """Streams in memory, with retention by count and switches for faults.
 
-    :param kept: records that a stream keeps.
+    :param max_records: records that a stream keeps.
     """
 
-    def __init__(self, *, kept: int = 10_000) -> None:
-        self._kept = kept
+    def __init__(self, *, max_records: int = 10_000) -> None:
+        self._max_records = max_records
         self._streams: dict[str, list[Entry]] = {}
         self._changed = trio.Event()
         self.is_down = False
@@ -163,7 +163,7 @@
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append one record and learn its offset."""
+        """Append one record and return its offset."""
         await trio.lowlevel.checkpoint()
         if self.is_down:
             return Failure(LogError(fault=LogFault.NOT_APPENDED, detail='down'))
@@ -202,7 +202,7 @@
         return self._page(stream, start, limit)
 
     def records(self, stream: str) -> list[Entry]:
-        """Everything that was ever appended, also what has expired."""
+        """All records ever appended, including expired ones."""
         return list(self._streams.get(stream, ()))
 
     def _end(self, stream: str) -> Offset:
@@ -215,7 +215,7 @@
         limit: int,
     ) -> Result[LogPage, LogError]:
         end = self._end(stream)
-        oldest = Offset(max(0, end - self._kept))
+        oldest = Offset(max(0, end - self._max_records))
         if start < oldest:
             return Failure(
                 LogError(
@@ -234,8 +234,8 @@
         )
 
 
-class LogView:
-    """One availability zone's way to a log, which may be cut.
+class LogConnection:
+    """One availability zone's connection to a log, which can be cut.
 
     :param log: shared with the other availability zones.
     """
@@ -249,7 +249,7 @@
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append one record and learn its offset."""
+        """Append one record and return its offset."""
         if self.is_down:
             return Failure(LogError(fault=LogFault.NOT_APPENDED, detail='cut'))
         return await self._log.append(stream, body)
@@ -277,9 +277,9 @@
 ) -> None:
     """Wait until a condition holds.
 
-    :raises AssertionError: when it does not in time.
+    :raises AssertionError: when it does not hold in time.
     """
     with trio.move_on_after(within.total_seconds()):
         while not condition():
             await trio.sleep(step.total_seconds())
-    assert condition(), f'not so within {within}'
+    assert condition(), f'the condition did not hold within {within}'
--- a/libs/mesh/tests/test_parts.py
+++ b/libs/mesh/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon's mesh, each by itself."""
+"""Tests of single components of a daemon's mesh."""
 
 from datetime import timedelta
 from random import Random
@@ -13,8 +13,12 @@
 from verbenamill_mesh import MeshSettings, MeshStats
 from verbenamill_mesh.links import Links
 from verbenamill_mesh.members import MemberRecord, Members, MemberStatus
-from verbenamill_mesh.messages import Done, Note, encode
-from verbenamill_mesh.ring import RING, Arc, neighbours, position_of, split
+from verbenamill_mesh.messages import (
+    Acknowledgement,
+    ApplicationMessage,
+    encode,
+)
+from verbenamill_mesh.ring import RING_SIZE, Arc, neighbours, position_of, split
 from verbenamill_mesh.store import Store, Update
 from verbenamill_mesh.testing import MemoryNetwork
 from verbenamill_model.traffic import Member
@@ -35,15 +39,15 @@
 
 
 def test_a_request_on_a_silent_link_gets_its_answer_on_a_new_one():
-    """The connection to a peer goes silent, the peer is well.
+    """The connection to a healthy peer stops carrying messages.
 
-    The caller of ``ask`` sees an answer, one timeout late, and the silent
+    The request still gets its answer, one timeout late, and the silent
     connection is closed.
     """
     network = MemoryNetwork(Random(1))
     stats = MeshStats()
     links = Links(
-        own='vm-1',
+        own_id='vm-1',
         availability_zone='a',
         transport=network.transport('vm-1'),
         settings=MeshSettings(),
@@ -52,44 +56,51 @@
     )
 
     async def answer(body):
-        return encode(Done())
+        return encode(Acknowledgement())
 
     async def main():
         network.listen('vm-2', answer)
         async with trio.open_nursery() as nursery:
             await nursery.start(links.run)
-            assert await links.ask('vm-2', Note('k', b'')) == Success(Done())
+            assert await links.send_request(
+                'vm-2', ApplicationMessage('k', b'')
+            ) == Success(Acknowledgement())
             network.silence_links()
             before = trio.current_time()
-            assert await links.ask('vm-2', Note('k', b'')) == Success(Done())
+            assert await links.send_request(
+                'vm-2', ApplicationMessage('k', b'')
+            ) == Success(Acknowledgement())
             assert trio.current_time() - before < 1
             assert stats.links_replaced == 1
             network.close('vm-2')
-            reply = await links.ask('vm-2', Note('k', b''))
+            reply = await links.send_request(
+                'vm-2', ApplicationMessage('k', b'')
+            )
             assert isinstance(reply, Failure)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_request_is_not_lost_with_an_idle_link():
-    """A request comes in the moment in which its link is given up as idle.
+def test_a_request_is_not_lost_when_its_link_becomes_idle():
+    """A request is queued at the moment when its link is closed as idle.
 
-    It stood in the queue of a task that had ended, and its asker waited for
-    ever: a daemon then exchanged nothing any more, though it seemed well.
+    Such a request stayed in the queue of a task that had ended, and its sender
+    waited for ever: the daemon exchanged nothing any more, although it seemed
+    healthy.
     """
     network = MemoryNetwork(Random(1), delay=timedelta(0))
     links = Links(
-        own='vm-1',
+        own_id='vm-1',
         availability_zone='a',
         transport=network.transport('vm-1'),
-        settings=MeshSettings(idle_link=timedelta(seconds=1)),
+        settings=MeshSettings(link_idle_timeout=timedelta(seconds=1)),
         stats=MeshStats(),
         is_cut=lambda _: False,
     )
 
     async def answer(body):
-        return encode(Done())
+        return encode(Acknowledgement())
 
     async def main():
         network.listen('vm-2', answer)
@@ -97,7 +108,9 @@
             await nursery.start(links.run)
             for _ in range(50):
                 with trio.move_on_after(10) as scope:
-                    await links.ask('vm-2', Note('k', b''))
+                    await links.send_request(
+                        'vm-2', ApplicationMessage('k', b'')
+                    )
                 assert not scope.cancelled_caught
                 await trio.sleep(1)
             nursery.cancel_scope.cancel()
@@ -105,25 +118,29 @@
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_a_tombstone_of_someone_unknown_is_not_taken():
-    """Daemons forget the dead at different times.
+def test_a_tombstone_of_an_unknown_member_is_ignored():
+    """Daemons remove tombstones at different times.
 
-    One that has forgotten must not take the tombstone back from one that
-    has not, or it would go round for ever.
+    If a daemon that has removed one accepted it again from another daemon, the
+    tombstone would circulate for ever.
     """
     members = Members(member('vm-1'), Store(), on_refutation_needed=int)
     other = Members(member('vm-2'), Store(), on_refutation_needed=int)
-    alive = other.say()
+    alive = other.update_own_record()
     assert members.merge_update(alive)
-    tombstone = members.judge('vm-2', MemberStatus.DEAD)
-    assert not members.merge_update(alive), 'what is older does not revive it'
+    tombstone = members.declare_status('vm-2', MemberStatus.DEAD)
+    assert not members.merge_update(alive), (
+        'an older record does not supersede a tombstone'
+    )
     members.forget('vm-2')
     assert not members.merge_update(tombstone)
     assert members.record('vm-2') is None
-    assert members.merge_update(other.say()), 'a new word of its own does'
+    assert members.merge_update(other.update_own_record()), (
+        'a newer record of the member does'
+    )
 
 
-def test_a_dropped_key_is_not_brought_back():
+def test_a_dropped_key_is_not_restored():
     stores = [Store(), Store()]
     for store in stores:
         store.add_topic('moves', lambda old, new: max(old or b'', new))
@@ -135,8 +152,8 @@
 
 
 def exchange(own, other):
-    buckets, marks = other.differ(own.buckets())
-    return own.plan(buckets, tuple(marks))
+    buckets, hashes = other.find_differing_buckets(own.buckets())
+    return own.plan_exchange(buckets, tuple(hashes))
 
 
 keys = st.integers(0, 30).map(str)
@@ -145,28 +162,28 @@
 
 @checked
 @given(values, values)
-def test_an_exchange_makes_two_stores_the_same(left, right):
+def test_an_exchange_makes_two_stores_equal(left, right):
     stores = [Store(), Store()]
-    for store, held in zip(stores, (left, right)):
+    for store, initial in zip(stores, (left, right)):
         store.add_topic('t', lambda old, new: max(old or b'', new))
-        for key, value in held.items():
+        for key, value in initial.items():
             store.merge(Update('t', key, value))
     own, other = stores
-    wanted, lacking = exchange(own, other)
-    for update in other.look_up(tuple(wanted)):
+    to_fetch, to_push = exchange(own, other)
+    for update in other.look_up(tuple(to_fetch)):
         own.merge(update)
         newer = own.find_newer(update)
         if newer is not None:
             other.merge(newer)
-    for update in lacking:
+    for update in to_push:
         other.merge(update)
     assert own.entries('t') == other.entries('t')
     assert own.root() == other.root()
 
 
 @checked
-@given(names, st.integers(1, 5), st.integers(0, RING - 1))
-def test_a_tree_reaches_everyone_once(members, arity, start):
+@given(names, st.integers(1, 5), st.integers(0, RING_SIZE - 1))
+def test_a_broadcast_tree_reaches_each_member_once(members, arity, start):
     """Each daemon splits the arc it was given; together they cover it."""
     reached = []
 
@@ -176,13 +193,13 @@
                 reached.append(branch.delegates[0])
                 deliver(branch.arc, branch.delegates[0])
 
-    deliver(Arc(start, RING), 'root')
+    deliver(Arc(start, RING_SIZE), 'root')
     assert sorted(reached) == sorted(members)
 
 
 @checked
 @given(names, st.integers(2, 5))
-def test_a_tree_reaches_those_whom_the_root_does_not_know(members, arity):
+def test_a_broadcast_tree_reaches_members_unknown_to_the_root(members, arity):
     reached = set()
 
     def deliver(arc, own, known):
@@ -192,14 +209,14 @@
                 deliver(branch.arc, branch.delegates[0], members)
 
     known = set(sorted(members)[::2])
-    deliver(Arc(0, RING), 'root', known)
+    deliver(Arc(0, RING_SIZE), 'root', known)
     if known:
         assert reached == members
 
 
 @checked
 @given(names)
-def test_neighbours_are_few_and_connect_everyone(members):
+def test_neighbours_are_few_and_connect_all_members(members):
     for own in members:
         assert len(neighbours(own, members)) <= 2 * len(members).bit_length()
     reached = set(sorted(members)[:1])
@@ -211,33 +228,42 @@
     assert reached == members
 
 
-def test_a_fast_restart_wins_over_the_record_of_the_run_before():
+def test_a_fast_restart_supersedes_the_record_of_the_previous_run():
     """A daemon restarts on another port, with its id and first incarnation.
 
-    Both records have the same precedence; whichever the bytes favour, the
-    running daemon takes a higher incarnation and its address wins.
+    Both records have the same precedence. Whichever one the order of the bytes
+    prefers, the running daemon takes a higher incarnation, so that its own
+    address is used.
     """
     for old_port, new_port in (('1', '2'), ('2', '1')):
-        doubts = []
+        refuted_incarnations = []
         before = Members(member('vm-1'), Store(), on_refutation_needed=int)
-        old = before.say(own=replace(member('vm-1'), control=old_port))
+        old = before.update_own_record(
+            own=replace(member('vm-1'), control=old_port)
+        )
         after = Members(
-            member('vm-1'), Store(), on_refutation_needed=doubts.append
+            member('vm-1'),
+            Store(),
+            on_refutation_needed=refuted_incarnations.append,
         )
-        after.say(own=replace(member('vm-1'), control=new_port))
+        after.update_own_record(own=replace(member('vm-1'), control=new_port))
         assert not after.merge_update(old)
         other = Members(member('vm-2'), Store(), on_refutation_needed=int)
         other.merge_update(old)
-        other.merge_update(after.say(above=doubts.pop()))
+        other.merge_update(
+            after.update_own_record(exceeding=refuted_incarnations.pop())
+        )
         assert other.alive()['vm-1'].control == new_port
 
 
-def test_records_of_one_run_only_get_worse():
+def test_the_status_within_an_incarnation_only_increases():
     members = Members(member('vm-1'), Store(), on_refutation_needed=int)
     members.merge_update(
-        Members(member('vm-2'), Store(), on_refutation_needed=int).say()
+        Members(
+            member('vm-2'), Store(), on_refutation_needed=int
+        ).update_own_record()
     )
-    assert members.judge('vm-2', MemberStatus.DEAD) is not None
-    assert members.judge('vm-2', MemberStatus.SUSPECT) is None
+    assert members.declare_status('vm-2', MemberStatus.DEAD) is not None
+    assert members.declare_status('vm-2', MemberStatus.SUSPECT) is None
     assert isinstance(members.record('vm-2'), MemberRecord)
     assert members.alive().keys() == {'vm-1'}
