--- a/libs/standins/src/verbenamill_standins/__init__.py
+++ b/libs/standins/src/verbenamill_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the log, upstreams and callers."""
+"""Test doubles for the log service, upstreams and callers."""
 
 from verbenamill_standins.behaviour import Behaviour
 from verbenamill_standins.caller import Caller, CallFault, Reply
--- a/libs/standins/src/verbenamill_standins/behaviour.py
+++ b/libs/standins/src/verbenamill_standins/behaviour.py
@@ -1,4 +1,4 @@
-"""How a stand-in upstream behaves, well or badly."""
+"""Simulated latency and faults of a stand-in upstream."""
 
 from random import Random
 
@@ -6,20 +6,20 @@
 
 
 class Behaviour(Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """Settings of an upstream; ``PUT /control`` changes those it names.
-
-    The faults (``fail_share`` to ``cut_share``) show only on paths below
-    ``prefix``, from ``after_s`` seconds after the start and while more than
-    ``above_running`` calls run.
-
-    :param latency_ms: ordinary time a call takes.
-    :param shed: answer 503 when all slots are taken.
-    :param cold_start_s: time after the start in which calls are slower.
-    :param cold_start_ms: added latency at the start, falling to 0.
-    :param fail_share: share of calls answered 500.
-    :param extra_ms: added latency.
-    :param stall_share: share of calls that get no answer.
-    :param cut_share: share of answers cut off in the middle.
+    """Simulated behaviour; ``PUT /control`` updates the given fields.
+
+    The faults (``fail_share`` to ``cut_share``) apply only to paths that
+    start with ``prefix``, from ``after_s`` seconds after the start on, and
+    while more than ``above_running`` calls are running.
+
+    :param latency_ms: base latency of a call.
+    :param shed: respond with 503 when all slots are in use.
+    :param cold_start_s: duration of the cold start, in which calls are slower.
+    :param cold_start_ms: latency added at the start; decreases linearly to 0.
+    :param fail_share: fraction of calls that get a 500 response.
+    :param extra_ms: latency added to each affected call.
+    :param stall_share: fraction of calls that never get a response.
+    :param cut_share: fraction of responses that are truncated.
     """
 
     latency_ms: float = 0
@@ -35,10 +35,10 @@
     above_running: int = 0
 
 
-class Plan(Struct, kw_only=True, frozen=True):
-    """What happens to one call.
+class PlannedOutcome(Struct, kw_only=True, frozen=True):
+    """Outcome that is simulated for one call.
 
-    :param seconds: how long it takes.
+    :param seconds: duration of the call.
     """
 
     seconds: float
@@ -54,21 +54,23 @@
     age: float,
     running: int,
     random: Random,
-) -> Plan:
-    """Decide what happens to one call.
+) -> PlannedOutcome:
+    """Choose the outcome of one call.
 
     :param age: seconds since the upstream started.
-    :param running: calls that run, this one included.
+    :param running: number of running calls, including this one.
     """
-    seconds = (behaviour.latency_ms + _cold_ms(behaviour, age)) / 1000
-    is_bad = (
+    seconds = (
+        behaviour.latency_ms + _cold_start_latency_ms(behaviour, age)
+    ) / 1000
+    faults_apply = (
         path.startswith(behaviour.prefix)
         and age >= behaviour.after_s
         and running > behaviour.above_running
     )
-    if not is_bad:
-        return Plan(seconds=seconds)
-    return Plan(
+    if not faults_apply:
+        return PlannedOutcome(seconds=seconds)
+    return PlannedOutcome(
         seconds=seconds + behaviour.extra_ms / 1000,
         fails=random.random() < behaviour.fail_share,
         stalls=random.random() < behaviour.stall_share,
@@ -76,7 +78,7 @@
     )
 
 
-def _cold_ms(behaviour: Behaviour, age: float) -> float:
+def _cold_start_latency_ms(behaviour: Behaviour, age: float) -> float:
     if age >= behaviour.cold_start_s:
         return 0
     return behaviour.cold_start_ms * (1 - age / behaviour.cold_start_s)
--- a/libs/standins/src/verbenamill_standins/caller.py
+++ b/libs/standins/src/verbenamill_standins/caller.py
@@ -1,4 +1,4 @@
-"""A stand-in caller: sends calls and says exactly how each one ended."""
+"""Test caller that reports exactly how each call ended."""
 
 import select
 from collections import defaultdict
@@ -15,16 +15,16 @@
     encode_request,
 )
 
-#: Unused connections kept to one target.
-MAX_IDLE = 256
+#: Upper bound on idle connections kept open to one target.
+MAX_IDLE_CONNECTIONS = 256
 
 
 @unique
 class CallFault(str, Enum):
-    """Why a call has no whole answer.
+    """Reason why a call has no complete response.
 
-    ``NOT_SENT`` is certain; after the others the call may have run.
-    ``BROKEN`` means that a part of the answer came.
+    After ``NOT_SENT`` the call has certainly not run; after the other faults
+    it may have. ``BROKEN`` means that a part of the response arrived.
     """
 
     NOT_SENT = 'not-sent'
@@ -34,18 +34,18 @@
 
 
 class Reply(Struct, kw_only=True, frozen=True):
-    """How a call ended: with a whole answer, or with a fault."""
+    """Result of a call: either a complete response or a fault."""
 
     message: Message | None = None
     fault: CallFault | None = None
 
 
 class Caller:
-    """Sends calls over kept connections, one call a connection at a time."""
+    """Sends calls over persistent connections, without pipelining."""
 
     def __init__(self) -> None:
-        self._idle: defaultdict[str, list[trio.SocketStream]] = defaultdict(
-            list,
+        self._idle_streams: defaultdict[str, list[trio.SocketStream]] = (
+            defaultdict(list)
         )
 
     async def call(
@@ -58,38 +58,38 @@
         body: bytes = b'',
         timeout: float = 10,
     ) -> Reply:
-        """Send one call and wait for its answer; never repeats it.
+        """Send one call and wait for its response, without retries.
 
-        :param target: ``host:port`` to send it to.
-        :param timeout: seconds until the caller gives up.
+        :param target: ``host:port`` of the server.
+        :param timeout: seconds until the call is abandoned.
         """
         with trio.move_on_after(timeout):
             stream = await self._connect(target)
             if stream is None:
                 return Reply(fault=CallFault.NOT_SENT)
-            sent = encode_request(
+            encoded_request = encode_request(
                 method,
                 path,
                 {'host': target, **headers},
                 body,
             )
-            return await self._exchange(target, stream, sent)
+            return await self._exchange(target, stream, encoded_request)
         return Reply(fault=CallFault.TIMEOUT)
 
     async def aclose(self) -> None:
-        """Close the kept connections."""
-        for streams in self._idle.values():
+        """Close the idle connections."""
+        for streams in self._idle_streams.values():
             for stream in streams:
                 await trio.aclose_forcefully(stream)
-        self._idle.clear()
+        self._idle_streams.clear()
 
     async def _connect(self, target: str) -> trio.SocketStream | None:
-        idle = self._idle[target]
+        idle = self._idle_streams[target]
         while idle:
-            kept = idle.pop()
-            if _is_quiet(kept):
-                return kept
-            await trio.aclose_forcefully(kept)
+            candidate = idle.pop()
+            if _has_no_pending_input(candidate):
+                return candidate
+            await trio.aclose_forcefully(candidate)
         host, port = target.rsplit(':', 1)
         try:
             return await trio.open_tcp_stream(host, int(port))
@@ -100,30 +100,35 @@
         self,
         target: str,
         stream: trio.SocketStream,
-        sent: bytes,
+        encoded_request: bytes,
     ) -> Reply:
         reader = MessageReader(stream, httptools.HttpResponseParser)
-        keep = False
+        is_reusable = False
         try:
-            await stream.send_all(sent)
+            await stream.send_all(encoded_request)
             message = await reader.read()
-            keep = message is not None and message.keep_alive
+            is_reusable = message is not None and message.keep_alive
         except trio.BrokenResourceError:
             message = None
         finally:
-            if keep and len(self._idle[target]) < MAX_IDLE:
-                self._idle[target].append(stream)
+            if (
+                is_reusable
+                and len(self._idle_streams[target]) < MAX_IDLE_CONNECTIONS
+            ):
+                self._idle_streams[target].append(stream)
             else:
                 await trio.aclose_forcefully(stream)
         if message is not None:
             return Reply(message=message)
         return Reply(
-            fault=CallFault.BROKEN if reader.begun else CallFault.LOST,
+            fault=CallFault.BROKEN
+            if reader.has_partial_message
+            else CallFault.LOST,
         )
 
 
-def _is_quiet(stream: trio.SocketStream) -> bool:
-    """Whether nothing, not even its end, has arrived on a connection."""
+def _has_no_pending_input(stream: trio.SocketStream) -> bool:
+    """Whether neither data nor the end of the stream is pending."""
     poll = select.poll()
     poll.register(stream.socket.fileno(), select.POLLIN | select.POLLHUP)
     return not poll.poll(0)
--- a/libs/standins/src/verbenamill_standins/http_messages.py
+++ b/libs/standins/src/verbenamill_standins/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages on a trio stream, parsed by httptools."""
+"""Reading and encoding of HTTP/1.1 messages on trio streams."""
 
 import hashlib
 from collections.abc import Mapping
@@ -7,10 +7,11 @@
 import trio
 from msgspec import Struct
 
-READ_SIZE = 64 * 1024
-#: Bodies up to this length are kept; of longer ones only the digest.
-KEPT_BODY = 256 * 1024
-DIGEST_SIZE = 16
+READ_CHUNK_BYTES = 64 * 1024
+#: Parts of a body beyond this size are dropped. The length and the digest of
+#: a message cover its complete body.
+MAX_STORED_BODY_BYTES = 256 * 1024
+DIGEST_BYTES = 16
 
 _PARSE_ERRORS = (
     httptools.HttpParserError,
@@ -20,12 +21,14 @@
 
 
 class Message(Struct, kw_only=True):
-    """A whole request or response.
-
-    :param target: request target; empty in a response.
-    :param status: status code; 0 in a request.
-    :param body: the body, unless longer than :data:`KEPT_BODY`.
-    :param digest: digest of the whole body.
+    """A complete request or response.
+
+    :param target: request target; empty for a response.
+    :param status: status code; 0 for a request.
+    :param body: the body, incomplete if it is longer than
+        :data:`MAX_STORED_BODY_BYTES`.
+    :param length: length of the complete body.
+    :param digest: digest of the complete body.
     """
 
     method: str = ''
@@ -39,72 +42,74 @@
 
 
 class MessageReader:
-    """Reads the messages of one kind from a stream, in order.
+    """Reads consecutive requests or responses from a stream.
 
-    :param parser_type: httptools' request or response parser.
+    :param parser_type: request or response parser class of httptools.
     """
 
     def __init__(self, stream: trio.abc.ReceiveStream, parser_type: type):
         self._stream = stream
         self._parser = parser_type(self)
-        self._ready: list[Message] = []
-        self._begun = False
+        self._complete_messages: list[Message] = []
+        self._has_partial_message = False
         self._reset()
 
     @property
-    def begun(self) -> bool:
-        """Whether a part of the next message has arrived."""
-        return self._begun
+    def has_partial_message(self) -> bool:
+        """Whether an incomplete message has been received."""
+        return self._has_partial_message
 
     async def read(self) -> Message | None:
-        """Next whole message; ``None`` when the stream ended or broke.
+        """Return the next message; ``None`` at the end or on a parse error.
 
-        :raises trio.BrokenResourceError: when the connection was reset.
+        :raises trio.BrokenResourceError: if the connection was reset.
         """
-        while not self._ready:
-            received = await self._stream.receive_some(READ_SIZE)
-            if not received:
+        while not self._complete_messages:
+            chunk = await self._stream.receive_some(READ_CHUNK_BYTES)
+            if not chunk:
                 return None
             try:
-                self._parser.feed_data(received)
+                self._parser.feed_data(chunk)
             except _PARSE_ERRORS:
                 return None
-        return self._ready.pop(0)
+        return self._complete_messages.pop(0)
 
-    # Called by httptools.
+    # httptools calls the following methods while it parses.
 
     def on_message_begin(self) -> None:
-        """Start a message."""
+        """Handle the start of a message."""
         self._reset()
-        self._begun = True
+        self._has_partial_message = True
 
     def on_url(self, part: bytes) -> None:
-        """Take a part of the request target."""
+        """Handle a fragment of the request target."""
         self._target += part
 
-    def on_header(self, name: bytes, text: bytes) -> None:
-        """Take one header."""
-        self._headers[name.decode('latin-1').lower()] = text.decode('latin-1')
+    def on_header(self, name: bytes, header_value: bytes) -> None:
+        """Handle a header field."""
+        self._headers[name.decode('latin-1').lower()] = header_value.decode(
+            'latin-1',
+        )
 
     def on_body(self, part: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a fragment of the body."""
         self._length += len(part)
-        self._hash.update(part)
-        if self._length <= KEPT_BODY:
-            self._parts.append(part)
+        self._body_hash.update(part)
+        if self._length <= MAX_STORED_BODY_BYTES:
+            self._body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """Finish a message."""
-        self._begun = False
-        self._ready.append(
+        """Handle the end of a message."""
+        self._has_partial_message = False
+        self._complete_messages.append(
             Message(
                 method=self._get_method(),
                 target=self._target.decode('latin-1'),
                 status=self._get_status(),
                 headers=self._headers,
-                body=b''.join(self._parts),
+                body=b''.join(self._body_parts),
                 length=self._length,
-                digest=self._hash.hexdigest(),
+                digest=self._body_hash.hexdigest(),
                 keep_alive=self._parser.should_keep_alive(),
             ),
         )
@@ -122,14 +127,14 @@
     def _reset(self) -> None:
         self._target = b''
         self._headers: dict[str, str] = {}
-        self._parts: list[bytes] = []
+        self._body_parts: list[bytes] = []
         self._length = 0
-        self._hash = hashlib.blake2b(digest_size=DIGEST_SIZE)
+        self._body_hash = hashlib.blake2b(digest_size=DIGEST_BYTES)
 
 
 def digest_body(body: bytes) -> str:
-    """Digest by which the two ends of a call compare a body."""
-    return hashlib.blake2b(body, digest_size=DIGEST_SIZE).hexdigest()
+    """Compute the digest with which both ends of a call compare a body."""
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def encode_request(
@@ -138,7 +143,7 @@
     headers: Mapping[str, str],
     body: bytes = b'',
 ) -> bytes:
-    """One request with a content length."""
+    """Encode a request with a ``content-length`` header."""
     return _encode(f'{method} {target} HTTP/1.1', headers, body)
 
 
@@ -147,12 +152,14 @@
     headers: Mapping[str, str],
     body: bytes = b'',
 ) -> bytes:
-    """One response with a content length."""
+    """Encode a response with a ``content-length`` header."""
     return _encode(f'HTTP/1.1 {status} -', headers, body)
 
 
-def _encode(first: str, headers: Mapping[str, str], body: bytes) -> bytes:
-    lines = [first]
-    lines.extend(f'{name}: {text}' for name, text in headers.items())
+def _encode(start_line: str, headers: Mapping[str, str], body: bytes) -> bytes:
+    lines = [start_line]
+    lines.extend(
+        f'{name}: {header_value}' for name, header_value in headers.items()
+    )
     lines.append(f'content-length: {len(body)}\r\n\r\n')
     return '\r\n'.join(lines).encode('latin-1') + body
--- a/libs/standins/src/verbenamill_standins/log_server.py
+++ b/libs/standins/src/verbenamill_standins/log_server.py
@@ -1,4 +1,4 @@
-"""HTTP face of the stand-in log, with switches for its faults."""
+"""HTTP interface of the stand-in log, with fault injection."""
 
 from collections import defaultdict
 from functools import partial
@@ -9,23 +9,25 @@
 from quart import Response, request
 from quart_trio import QuartTrio
 
-from verbenamill_standins.log_store import Stored, Stream, TokenBucket
+from verbenamill_standins.log_store import StoredRecord, Stream, TokenBucket
 
-#: Longest that a reader is kept waiting for a record, in seconds.
-MAX_WAIT = 60.0
-#: How long an answer that is lost in silence is held, in seconds.
-SILENCE = 30.0
+#: Upper bound on the time for which a read waits for a record.
+MAX_LONG_POLL_SECONDS = 60.0
+#: Delay of a lost response when ``lose_silently`` is set.
+LOST_ANSWER_HOLD_SECONDS = 30.0
 
 
 class LogFaults(Struct, kw_only=True, forbid_unknown_fields=True):
-    """Faults that ``PUT /control`` sets; fields left out are reset.
-
-    :param outage: refuse everything with 503.
-    :param delay_ms: added to each answer.
-    :param lose_answers: appends to come that take effect unanswered.
-    :param outage_after_pages: the outage begins once so many readers have
-        been given records; -1 for never.
-    :param lose_silently: hold a lost answer in place of a 500.
+    """Injected faults; ``PUT /control`` resets the omitted fields.
+
+    :param outage: reject all reads and appends with 503.
+    :param delay_ms: delay added to each read and append.
+    :param lose_answers: number of coming appends that take effect but whose
+        success is not reported.
+    :param outage_after_pages: number of non-empty reads after which an
+        outage begins; -1 for none.
+    :param lose_silently: hold a lost answer back instead of responding with
+        500 at once.
     """
 
     outage: bool = False
@@ -36,7 +38,7 @@
 
 
 class LogCounters(Struct, kw_only=True):
-    """Requests since the start; ``reads`` counts long polls once."""
+    """Requests since the start; a long poll counts as one read."""
 
     appends: int = 0
     reads: int = 0
@@ -53,23 +55,23 @@
 class _Page(Struct):
     oldest: int
     end: int
-    records: list[Stored]
+    records: list[StoredRecord]
 
 
 class _Expired(Struct):
     oldest: int
 
 
-class _Control(Struct):
+class _ControlState(Struct):
     faults: LogFaults
     counters: LogCounters
 
 
 class LogService:
-    """The streams, their limits, faults and counters.
+    """Streams with their limits, injected faults and counters.
 
-    :param retention: records kept a stream; ``None`` keeps all.
-    :param appends_per_second: appends beyond it are answered 429.
+    :param retention: records retained per stream; ``None`` retains all.
+    :param appends_per_second: rate above which appends get a 429 response.
     """
 
     def __init__(
@@ -86,19 +88,19 @@
         self._counters = LogCounters()
 
     async def append(self, name: str, body: bytes) -> Response:
-        """Append a record unless the log is down or busy."""
+        """Append a record unless the log is down or the rate is exceeded."""
         await trio.sleep(self._faults.delay_ms / 1000)
         if self._faults.outage:
             self._counters.refused += 1
-            return _answer(503, b'the log is down')
-        if not self._bucket.take():
+            return _make_response(503, b'the log is down')
+        if not self._bucket.try_acquire():
             self._counters.throttled += 1
-            return _answer(429, b'too many appends')
+            return _make_response(429, b'too many appends')
         self._counters.appends += 1
         offset = self._streams[name].append(body)
         if self._faults.lose_answers > 0:
-            return await self._lose()
-        return _answer(201, msgspec.json.encode(_Appended(offset)))
+            return await self._lose_answer()
+        return _make_response(201, msgspec.json.encode(_Appended(offset)))
 
     async def read(
         self,
@@ -107,58 +109,62 @@
         limit: int,
         wait: float,
     ) -> Response:
-        """Read records, waiting for one when there is none yet."""
+        """Read records; wait for one if there is none yet."""
         self._counters.reads += 1
         await trio.sleep(self._faults.delay_ms / 1000)
         stream = self._streams[name]
         if start < stream.oldest:
             self._counters.expired += 1
-            return _answer(410, msgspec.json.encode(_Expired(stream.oldest)))
-        with trio.move_on_after(min(wait, MAX_WAIT)):
+            return _make_response(
+                410, msgspec.json.encode(_Expired(stream.oldest))
+            )
+        with trio.move_on_after(min(wait, MAX_LONG_POLL_SECONDS)):
             await stream.wait_beyond(start)
         if self._faults.outage:
             self._counters.refused += 1
-            return _answer(503, b'the log is down')
+            return _make_response(503, b'the log is down')
         if start < stream.oldest:
-            return _answer(410, msgspec.json.encode(_Expired(stream.oldest)))
+            return _make_response(
+                410, msgspec.json.encode(_Expired(stream.oldest))
+            )
         records = stream.read(start, limit) if start < stream.end else []
         if records:
-            self._count_page()
+            self._count_page_towards_outage()
         page = _Page(stream.oldest, stream.end, records)
-        return _answer(200, msgspec.json.encode(page))
+        return _make_response(200, msgspec.json.encode(page))
 
     def control(self, body: bytes | None = None) -> Response:
-        """Set the faults if there is a body; tell faults and counters."""
+        """Set the faults if a body is given; return faults and counters."""
         if body is not None:
             try:
                 self._faults = msgspec.json.decode(body, type=LogFaults)
             except msgspec.MsgspecError as error:
-                return _answer(400, str(error).encode())
-        told = _Control(self._faults, self._counters)
-        return _answer(200, msgspec.json.encode(told))
+                return _make_response(400, str(error).encode())
+        state_snapshot = _ControlState(self._faults, self._counters)
+        return _make_response(200, msgspec.json.encode(state_snapshot))
 
-    def _count_page(self) -> None:
+    def _count_page_towards_outage(self) -> None:
         faults = self._faults
         if faults.outage_after_pages > 0:
             faults.outage_after_pages -= 1
             faults.outage = faults.outage_after_pages == 0
 
-    async def _lose(self) -> Response:
+    async def _lose_answer(self) -> Response:
         self._faults.lose_answers -= 1
         self._counters.lost += 1
         if self._faults.lose_silently:
-            await trio.sleep(SILENCE)
-        return _answer(500, b'the answer was lost')
+            await trio.sleep(LOST_ANSWER_HOLD_SECONDS)
+        return _make_response(500, b'the answer was lost')
 
 
 def make_log_app(service: LogService) -> QuartTrio:
-    """The log's HTTP application."""
+    """Create the HTTP application of the log."""
     app = QuartTrio(__name__)
     records = '/streams/<name>/records'
     for rule, method, view in (
         (records, 'POST', _append),
         (records, 'GET', _read),
-        ('/control', 'GET', _tell_control),
+        ('/control', 'GET', _get_control),
         ('/control', 'PUT', _set_control),
     ):
         app.add_url_rule(
@@ -183,7 +189,7 @@
     )
 
 
-async def _tell_control(service: LogService) -> Response:
+async def _get_control(service: LogService) -> Response:
     return service.control()
 
 
@@ -193,9 +199,9 @@
 
 async def _read_body() -> bytes:
     body = await request.get_data()
-    assert isinstance(body, bytes), 'asked for as bytes'
+    assert isinstance(body, bytes), 'get_data() returns bytes by default'
     return body
 
 
-def _answer(status: int, body: bytes) -> Response:
+def _make_response(status: int, body: bytes) -> Response:
     return Response(body, status=status, content_type='application/json')
--- a/libs/standins/src/verbenamill_standins/log_store.py
+++ b/libs/standins/src/verbenamill_standins/log_store.py
@@ -1,4 +1,4 @@
-"""Records of the stand-in log, held in memory with limited retention."""
+"""In-memory storage of the stand-in log, with limited retention."""
 
 from collections import deque
 from datetime import UTC, datetime
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 
-class Stored(Struct, frozen=True, kw_only=True):
-    """One record with its offset and the log's time stamp."""
+class StoredRecord(Struct, frozen=True, kw_only=True):
+    """A record with its offset and the time at which it was appended."""
 
     offset: int
     at: datetime
@@ -16,66 +16,67 @@
 
 
 class Stream:
-    """One append-only stream.
+    """An append-only stream.
 
-    :param retention: records kept; older ones expire. ``None`` keeps all.
+    :param retention: number of newest records that are retained; ``None``
+        retains all.
     """
 
     def __init__(self, retention: int | None = None) -> None:
-        self._stored: deque[Stored] = deque(maxlen=retention)
+        self._records: deque[StoredRecord] = deque(maxlen=retention)
         self._end = 0
-        self._grown = trio.Event()
+        self._record_appended = trio.Event()
 
     @property
     def end(self) -> int:
-        """Offset that the next record gets."""
+        """Offset of the next record to be appended."""
         return self._end
 
     @property
     def oldest(self) -> int:
-        """First offset that has not expired."""
-        return self._end - len(self._stored)
+        """Offset of the oldest retained record."""
+        return self._end - len(self._records)
 
     def append(self, body: bytes) -> int:
-        """Append one record and return its offset."""
+        """Append a record and return its offset."""
         offset = self._end
-        self._stored.append(
-            Stored(offset=offset, at=datetime.now(UTC), body=body),
+        self._records.append(
+            StoredRecord(offset=offset, at=datetime.now(UTC), body=body),
         )
         self._end += 1
-        self._grown.set()
-        self._grown = trio.Event()
+        self._record_appended.set()
+        self._record_appended = trio.Event()
         return offset
 
-    def read(self, start: int, limit: int) -> list[Stored]:
-        """Records from an offset that has not expired."""
-        skipped = start - self.oldest
-        last = min(skipped + limit, len(self._stored))
-        return [self._stored[index] for index in range(skipped, last)]
+    def read(self, start: int, limit: int) -> list[StoredRecord]:
+        """Return records from ``start`` on, which must not have expired."""
+        first = start - self.oldest
+        last = min(first + limit, len(self._records))
+        return [self._records[index] for index in range(first, last)]
 
     async def wait_beyond(self, offset: int) -> None:
-        """Return once there is a record at ``offset``."""
+        """Wait until a record at ``offset`` has been appended."""
         while self._end <= offset:
-            await self._grown.wait()
+            await self._record_appended.wait()
 
 
 class TokenBucket:
-    """Rate limit with a burst of one second's worth.
+    """Token bucket that holds the tokens of at most one second.
 
-    :param rate: tokens a second.
+    :param rate: tokens per second.
     """
 
     def __init__(self, rate: float) -> None:
         self._rate = rate
         self._tokens = rate
-        self._filled_at = trio.current_time()
+        self._refilled_at = trio.current_time()
 
-    def take(self) -> bool:
-        """Take one token if there is one."""
+    def try_acquire(self) -> bool:
+        """Take a token if one is available; return whether it was."""
         now = trio.current_time()
-        grown = self._tokens + (now - self._filled_at) * self._rate
-        self._tokens = min(grown, self._rate)
-        self._filled_at = now
+        refilled = self._tokens + (now - self._refilled_at) * self._rate
+        self._tokens = min(refilled, self._rate)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/libs/standins/src/verbenamill_standins/main.py
+++ b/libs/standins/src/verbenamill_standins/main.py
@@ -1,4 +1,4 @@
-"""The command ``verbenamill-standin``."""
+"""Command-line interface ``verbenamill-standin``."""
 
 import logging
 from pathlib import Path
@@ -13,11 +13,11 @@
 from verbenamill_standins.upstream import UpstreamSettings, run_upstream
 
 app = typer.Typer(
-    help='Small stand-ins for what surrounds the mesh; for tests only.',
+    help='Stand-ins for the external systems of the mesh; for tests only.',
     no_args_is_help=True,
 )
 
-Listen = Annotated[str, typer.Option(help='host:port to serve on.')]
+Listen = Annotated[str, typer.Option(help='host:port to listen on.')]
 
 
 @app.command('log')
@@ -27,51 +27,59 @@
         int | None,
         typer.Option(
             min=1,
-            help='Records kept a stream; all when left out.',
+            help='Records retained per stream; all if omitted.',
         ),
     ] = None,
     appends_per_second: Annotated[
         float,
-        typer.Option(help='Appends beyond it are answered 429.'),
+        typer.Option(help='Rate above which appends get 429.'),
     ] = 300,
 ) -> None:
-    """Serve the platform's log from memory."""
+    """Serve an in-memory stand-in for the log of the platform."""
     trio.run(_serve_log, listen, retention_records, appends_per_second)
 
 
 @app.command('upstream')
 def upstream_command(
     listen: Listen,
-    service: Annotated[str, typer.Option(help='Service it belongs to.')],
+    service: Annotated[str, typer.Option(help='Name of the service.')],
     version: Annotated[str, typer.Option(help='Version of the service.')],
     admin: Annotated[
         str,
-        typer.Option(help="Base URL of its daemon's admin API."),
+        typer.Option(help='Base URL of the admin API of the daemon.'),
     ] = '',
-    slots: Annotated[int, typer.Option(help='Calls at a time.')] = 16,
-    connections: Annotated[int, typer.Option(help='Connections.')] = 130,
-    starting_s: Annotated[float, typer.Option(help='Time to readiness.')] = 0,
-    latency_ms: Annotated[float, typer.Option(help='Time of a call.')] = 0,
-    shed: Annotated[bool, typer.Option(help='503 above its slots.')] = False,
+    slots: Annotated[
+        int, typer.Option(help='Number of concurrent calls.')
+    ] = 16,
+    connections: Annotated[
+        int, typer.Option(help='Announced connections.')
+    ] = 130,
+    starting_s: Annotated[
+        float, typer.Option(help='Seconds until it is ready.')
+    ] = 0,
+    latency_ms: Annotated[float, typer.Option(help='Base latency.')] = 0,
+    shed: Annotated[bool, typer.Option(help='503 if slots are full.')] = False,
     cold_start_s: Annotated[float, typer.Option()] = 0,
     cold_start_ms: Annotated[float, typer.Option()] = 0,
-    fail_share: Annotated[float, typer.Option(help='Answered 500.')] = 0,
-    extra_ms: Annotated[float, typer.Option(help='Added latency.')] = 0,
-    stall_share: Annotated[float, typer.Option(help='Never answered.')] = 0,
-    cut_share: Annotated[float, typer.Option(help='Cut short.')] = 0,
-    prefix: Annotated[str, typer.Option(help='Faults only there.')] = '/',
-    after_s: Annotated[float, typer.Option(help='Faults only then.')] = 0,
+    fail_share: Annotated[float, typer.Option(help='Share of 500s.')] = 0,
+    extra_ms: Annotated[float, typer.Option(help='Extra latency.')] = 0,
+    stall_share: Annotated[float, typer.Option(help='Share unanswered.')] = 0,
+    cut_share: Annotated[float, typer.Option(help='Share truncated.')] = 0,
+    prefix: Annotated[str, typer.Option(help='Path prefix of faults.')] = '/',
+    after_s: Annotated[float, typer.Option(help='Seconds before faults.')] = 0,
     above_running: Annotated[
         int,
-        typer.Option(help='Faults only while more calls run.'),
+        typer.Option(help='Running calls above which the faults apply.'),
     ] = 0,
-    seed: Annotated[int, typer.Option(help='Seed of the shares.')] = 0,
+    seed: Annotated[int, typer.Option(help='Seed of the random faults.')] = 0,
     journal: Annotated[
         Path | None,
-        typer.Option(help='File for the id of each call that runs.'),
+        typer.Option(
+            help='File to which the ID of each executed call is appended.'
+        ),
     ] = None,
 ) -> None:
-    """Serve calls as an upstream that announces itself to its daemon."""
+    """Run an upstream that announces itself to its daemon."""
     behaviour = Behaviour(
         latency_ms=latency_ms,
         shed=shed,
@@ -113,6 +121,6 @@
 
 
 def main() -> None:
-    """Entry point."""
+    """Run the command-line interface."""
     logging.basicConfig(level=logging.WARNING)
     app()
--- a/libs/standins/src/verbenamill_standins/relay.py
+++ b/libs/standins/src/verbenamill_standins/relay.py
@@ -1,32 +1,33 @@
-"""A relay of TCP connections that can fall silent.
+"""A TCP relay that can black-hole its open connections.
 
-It stands for whatever is between two ends and forgets about a connection:
-both ends still think it open, nothing arrives any more, and no reset comes.
+It simulates a middlebox, such as a NAT gateway, that has lost the state of a
+connection: both endpoints consider the connection open, but no data arrives
+and no reset is sent.
 """
 
 import trio
 
 
 class Relay:
-    """Relays connections to one target.
+    """Relays TCP connections to one target.
 
-    :param target: ``host:port``.
+    :param target: ``host:port`` of the target.
     """
 
     def __init__(self, target: str) -> None:
         self._target = target
-        self._silenced: set[trio.CancelScope] = set()
-        self._open: set[trio.CancelScope] = set()
+        self._blackholed_scopes: set[trio.CancelScope] = set()
+        self._open_scopes: set[trio.CancelScope] = set()
 
     @property
     def blackholed_connections(self) -> int:
-        """Connections that have gone silent so far."""
-        return len(self._silenced)
+        """Number of connections that have been black-holed so far."""
+        return len(self._blackholed_scopes)
 
     def blackhole_connections(self) -> None:
-        """Pass on nothing more on the open connections, ever."""
-        for scope in self._open:
-            self._silenced.add(scope)
+        """Stop forwarding data on the open connections for good."""
+        for scope in self._open_scopes:
+            self._blackholed_scopes.add(scope)
             scope.cancel()
 
     async def serve(
@@ -35,46 +36,47 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Relay until cancelled.
+        """Accept and relay connections until cancelled.
 
-        :param listen: ``host:port`` that the other end is told.
+        :param listen: ``host:port`` to listen on.
         """
         host, port = listen.rsplit(':', 1)
         listeners = await trio.open_tcp_listeners(int(port), host=host)
         task_status.started()
         await trio.serve_listeners(self._relay, listeners)
 
-    async def _relay(self, near: trio.SocketStream) -> None:
+    async def _relay(self, client_stream: trio.SocketStream) -> None:
         host, port = self._target.rsplit(':', 1)
         try:
-            far = await trio.open_tcp_stream(host, int(port))
+            target_stream = await trio.open_tcp_stream(host, int(port))
         except OSError:
-            await trio.aclose_forcefully(near)
+            await trio.aclose_forcefully(client_stream)
             return
         scope = trio.CancelScope()
-        async with near, far:
+        async with client_stream, target_stream:
             with scope:
-                self._open.add(scope)
-                await self._pass_both_ways(near, far)
-            self._open.discard(scope)
-            if scope in self._silenced:
+                self._open_scopes.add(scope)
+                await self._forward_both_ways(client_stream, target_stream)
+            self._open_scopes.discard(scope)
+            if scope in self._blackholed_scopes:
                 await trio.sleep_forever()
 
-    async def _pass_both_ways(
+    async def _forward_both_ways(
         self,
-        near: trio.SocketStream,
-        far: trio.SocketStream,
+        client_stream: trio.SocketStream,
+        target_stream: trio.SocketStream,
     ) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_pass, near, far)
-            nursery.start_soon(_pass, far, near)
+            nursery.start_soon(_forward, client_stream, target_stream)
+            nursery.start_soon(_forward, target_stream, client_stream)
 
 
-async def _pass(source: trio.SocketStream, sink: trio.SocketStream) -> None:
+async def _forward(source: trio.SocketStream, sink: trio.SocketStream) -> None:
     try:
         async for chunk in source:
             await sink.send_all(chunk)
         await sink.send_eof()
     except (trio.BrokenResourceError, trio.ClosedResourceError):
-        # The other direction ends by itself once its source is closed.
+        # Closing the sink also ends the task of the opposite direction, which
+        # reads from it.
         await trio.aclose_forcefully(sink)
--- a/libs/standins/src/verbenamill_standins/upstream.py
+++ b/libs/standins/src/verbenamill_standins/upstream.py
@@ -1,4 +1,4 @@
-"""Running a stand-in upstream: serving, announcing and draining."""
+"""Life cycle of a stand-in upstream: serve, announce, drain."""
 
 import logging
 from contextlib import ExitStack
@@ -11,26 +11,26 @@
 from msgspec import Struct
 
 from verbenamill_standins.behaviour import Behaviour
-from verbenamill_standins.run import wait_for_signal
+from verbenamill_standins.run import wait_for_shutdown_signal
 from verbenamill_standins.upstream_server import UpstreamServer
 
-#: Time between announcements, in seconds; a quarter of the 2 s lease.
-ANNOUNCE_EVERY = 0.5
-#: Longest that a draining upstream waits for its last calls, in seconds.
-DRAIN_TIMEOUT = 30.0
-#: Time a drained upstream stays, so that its daemon tells the others.
-LINGER = 0.5
+#: A quarter of the 2 s lease that an announcement grants.
+ANNOUNCE_INTERVAL_SECONDS = 0.5
+#: Upper bound on the time for which a drain waits for running calls.
+DRAIN_TIMEOUT_SECONDS = 30.0
+#: Minimum drain time, in which the daemon informs the other daemons.
+LINGER_SECONDS = 0.5
 
 _logger = logging.getLogger(__name__)
 
 
 class UpstreamSettings(Struct, kw_only=True, frozen=True):
-    """Settings of one stand-in upstream.
+    """Settings of a stand-in upstream.
 
-    :param listen: ``host:port`` where it serves calls.
-    :param admin: base URL of its daemon's admin API; empty for none.
-    :param journal: file that gets the id of each call that runs.
-    :param starting_s: time for which it announces itself as starting.
+    :param listen: ``host:port`` on which the upstream serves calls.
+    :param admin: base URL of the admin API of its daemon; empty for none.
+    :param journal: file to which the ID of each executed call is appended.
+    :param starting_s: seconds for which it announces the state ``starting``.
     """
 
     listen: str
@@ -68,14 +68,18 @@
                 json=body,
             )
         except httpx.HTTPError as error:
-            _logger.warning('announcement failed: %r', error)
+            _logger.warning(
+                'could not send the announcement to the daemon: %r', error
+            )
             return
         if response.is_error:
-            _logger.warning('announcement refused: %s', response.text)
+            _logger.warning(
+                'the daemon rejected the announcement: %s', response.text
+            )
 
 
 async def run_upstream(settings: UpstreamSettings) -> None:
-    """Serve until SIGTERM, then drain and return."""
+    """Serve calls until SIGTERM or SIGINT, then drain and return."""
     with ExitStack() as stack:
         journal: BinaryIO | None = None
         if settings.journal is not None:
@@ -104,14 +108,16 @@
             listeners,
         )
         announcing = trio.CancelScope()
-        nursery.start_soon(_announce, announcer, settings, announcing)
-        await wait_for_signal()
+        nursery.start_soon(
+            _announce_periodically, announcer, settings, announcing
+        )
+        await wait_for_shutdown_signal()
         announcing.cancel()
         await _drain(server, announcer)
         nursery.cancel_scope.cancel()
 
 
-async def _announce(
+async def _announce_periodically(
     announcer: _Announcer,
     settings: UpstreamSettings,
     scope: trio.CancelScope,
@@ -121,15 +127,15 @@
         while True:
             is_ready = trio.current_time() >= ready_at
             await announcer.announce('ready' if is_ready else 'starting')
-            await trio.sleep(ANNOUNCE_EVERY)
+            await trio.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
 
 async def _drain(server: UpstreamServer, announcer: _Announcer) -> None:
     server.drain()
-    with trio.move_on_after(DRAIN_TIMEOUT):
+    with trio.move_on_after(DRAIN_TIMEOUT_SECONDS):
         await announcer.announce('draining')
-        await trio.sleep(LINGER)
+        await trio.sleep(LINGER_SECONDS)
         while server.running:
             await announcer.announce('draining')
-            await trio.sleep(ANNOUNCE_EVERY / 5)
+            await trio.sleep(ANNOUNCE_INTERVAL_SECONDS / 5)
     await announcer.announce('gone')
--- a/libs/standins/tests/test_upstream.py
+++ b/libs/standins/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""The stand-in upstream and caller over real sockets."""
+"""Tests of the stand-in upstream, caller and relay over real sockets."""
 
 import json
 import socket
@@ -21,7 +21,7 @@
 
 
 @asynccontextmanager
-async def serving(**behaviour):
+async def serve_upstream(**behaviour):
     server = UpstreamServer(
         version='v1',
         slots=1,
@@ -39,20 +39,20 @@
         nursery.cancel_scope.cancel()
 
 
-async def control(caller, target, **changes):
+async def put_control(caller, target, **overrides):
     reply = await caller.call(
         target,
         'PUT',
         '/control',
         headers={},
-        body=json.dumps(changes).encode(),
+        body=json.dumps(overrides).encode(),
     )
     return json.loads(reply.message.body)['counters']
 
 
-def test_answer_names_the_call_and_repeats_are_counted():
+def test_response_has_call_id_and_repeated_calls_are_counted():
     async def main():
-        async with serving() as (target, caller):
+        async with serve_upstream() as (target, caller):
             for _ in range(2):
                 reply = await caller.call(
                     target,
@@ -66,7 +66,7 @@
             assert message.headers['x-body-digest'] == digest_body(b'steer')
             assert message.headers['x-answer-digest'] == message.digest
             assert message.length == 300000
-            counters = await control(caller, target)
+            counters = await put_control(caller, target)
             assert (counters['executions'], counters['doubled']) == (2, 1)
             await caller.aclose()
 
@@ -80,9 +80,9 @@
         ({'stall_share': 1}, CallFault.TIMEOUT),
     ],
 )
-def test_short_or_missing_answer_is_never_whole(behaviour, fault):
+def test_truncated_or_missing_response_is_a_fault(behaviour, fault):
     async def main():
-        async with serving(**behaviour) as (target, caller):
+        async with serve_upstream(**behaviour) as (target, caller):
             reply = await caller.call(
                 target, 'GET', '/x', headers={}, timeout=0.2
             )
@@ -92,28 +92,31 @@
     trio.run(main)
 
 
-def test_caller_that_leaves_cancels_its_work():
-    """A caller gives up; the slot that its call held must come free."""
+def test_call_is_cancelled_when_its_caller_disconnects():
+    """The slot of a call is released when its caller times out."""
 
     async def main():
-        async with serving(latency_ms=60000) as (target, caller):
+        async with serve_upstream(latency_ms=60000) as (target, caller):
             await caller.call(target, 'GET', '/x', headers={}, timeout=0.1)
-            counters = await control(caller, target)
+            counters = await put_control(caller, target)
             while counters['running']:
-                counters = await control(caller, target)
+                counters = await put_control(caller, target)
             assert counters['cancelled'] == 1
 
     trio.run(main)
 
 
-def test_faults_keep_to_their_path_and_slots_shed():
+def test_faults_apply_to_their_prefix_and_full_slots_shed():
     async def main():
-        async with serving(fail_share=1, prefix='/photos') as found:
-            target, caller = found
-            good = await caller.call(target, 'GET', '/fees', headers={})
-            bad = await caller.call(target, 'GET', '/photos/1', headers={})
-            assert (good.message.status, bad.message.status) == (200, 500)
-            await control(caller, target, shed=True, latency_ms=200)
+        async with serve_upstream(fail_share=1, prefix='/photos') as served:
+            target, caller = served
+            unaffected = await caller.call(target, 'GET', '/fees', headers={})
+            affected = await caller.call(target, 'GET', '/photos/1', headers={})
+            assert (unaffected.message.status, affected.message.status) == (
+                200,
+                500,
+            )
+            await put_control(caller, target, shed=True, latency_ms=200)
             statuses = []
 
             async def call():
@@ -128,28 +131,28 @@
     trio.run(main)
 
 
-def test_silenced_connection_answers_nothing_while_new_ones_work():
-    """Something between the two ends has lost track of a connection.
+def test_blackholed_connection_gets_no_response_but_new_ones_work():
+    """A middlebox has lost the state of a connection.
 
-    The caller's kept connection stays open and mute; a new one to the same
-    address works.
+    The persistent connection of the caller stays open but transfers no data;
+    a new connection to the same address works.
     """
 
     async def main():
-        async with serving() as (target, caller):
+        async with serve_upstream() as (target, caller):
             relay = Relay(target)
             listen = next(free_ports(Random(7)))
             async with trio.open_nursery() as nursery:
                 await nursery.start(relay.serve, listen)
-                first = await caller.call(listen, 'GET', '/x', headers={})
-                assert first.message.status == 200
+                first_reply = await caller.call(listen, 'GET', '/x', headers={})
+                assert first_reply.message.status == 200
                 relay.blackhole_connections()
-                mute = await caller.call(
+                blackholed_reply = await caller.call(
                     listen, 'GET', '/x', headers={}, timeout=0.2
                 )
-                assert mute.fault is CallFault.TIMEOUT
-                fresh = await caller.call(listen, 'GET', '/x', headers={})
-                assert fresh.message.status == 200
+                assert blackholed_reply.fault is CallFault.TIMEOUT
+                new_reply = await caller.call(listen, 'GET', '/x', headers={})
+                assert new_reply.message.status == 200
                 await caller.aclose()
                 nursery.cancel_scope.cancel()
 
@@ -157,13 +160,13 @@
 
 
 def test_reset_connection_does_not_end_the_upstream():
-    """A daemon is killed with a call on its way, and its socket resets.
+    """A daemon that is killed during a call resets its connection.
 
-    The upstream must go on serving others.
+    The upstream must continue to serve other connections.
     """
 
     async def main():
-        async with serving(latency_ms=100) as (target, caller):
+        async with serve_upstream(latency_ms=100) as (target, caller):
             host, port = target.split(':')
             stream = await trio.open_tcp_stream(host, int(port))
             await stream.send_all(b'GET /x HTTP/1.1\r\nhost: x\r\n\r\n')
