--- a/libs/daemon/src/verbenamill_daemon/__init__.py
+++ b/libs/daemon/src/verbenamill_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""verbenamilld, the process beside each upstream."""
+"""verbenamilld, the daemon process that runs beside each upstream."""
--- a/libs/daemon/src/verbenamill_daemon/caching.py
+++ b/libs/daemon/src/verbenamill_daemon/caching.py
@@ -1,4 +1,4 @@
-"""Remembering what was worked out from a table that is replaced on change."""
+"""Cache for values computed from tables that are replaced on every change."""
 
 from collections.abc import Callable
 from typing import Generic, ParamSpec, TypeVar
@@ -9,34 +9,35 @@
 _Value = TypeVar('_Value')
 
 
-class _Last(Struct, Generic[_Value]):
+class _CachedCall(Struct, Generic[_Value]):
     args: tuple[object, ...]
     value: _Value
 
 
 def cache_last(
-    work_out: Callable[_Args, _Value],
+    compute: Callable[_Args, _Value],
 ) -> Callable[_Args, _Value]:
-    """Work out again only when an argument is another object.
+    """Cache the last result and recompute it when an argument changes.
 
-    A fleet has tens of thousands of members and a thousand services. Looked
-    through several times a second by each daemon, they would take a few
-    percent of a core; they change a few times a minute. Comparing identities
-    is enough, since mesh and configuration replace their tables whole.
+    A fleet has tens of thousands of members and a thousand services.
+    Scanning these tables several times a second would take a few percent of
+    a core in each daemon, yet they change only a few times a minute.
+    Arguments are compared by identity, which is sufficient because the mesh
+    and the configuration replace a whole table on every change.
 
-    :param work_out: called with positional arguments only.
+    :param compute: called with positional arguments only.
     """
-    last: _Last[_Value] | None = None
+    last: _CachedCall[_Value] | None = None
 
-    def look_up(*args: _Args.args, **kwargs: _Args.kwargs) -> _Value:
+    def call_cached(*args: _Args.args, **kwargs: _Args.kwargs) -> _Value:
         nonlocal last
-        assert not kwargs, 'positional arguments only'
-        if last is None or not all(map(_is_same, last.args, args)):
-            last = _Last(args, work_out(*args, **kwargs))
+        assert not kwargs, 'the cached function takes positional arguments only'
+        if last is None or not all(map(_is_same_object, last.args, args)):
+            last = _CachedCall(args, compute(*args, **kwargs))
         return last.value
 
-    return look_up
+    return call_cached
 
 
-def _is_same(one: object, other: object) -> bool:
+def _is_same_object(one: object, other: object) -> bool:
     return one is other
--- a/libs/daemon/src/verbenamill_daemon/limits.py
+++ b/libs/daemon/src/verbenamill_daemon/call_settings.py
@@ -1,11 +1,11 @@
-"""From the settings file to the settings of calls."""
+"""Conversion of the settings file's call limits to the call settings."""
 
 from verbenamill_calls import CallSettings
 from verbenamill_daemon.settings import CallLimits
 
 
-def read_limits(limits: CallLimits) -> CallSettings:
-    """Settings of calls with the operator's limits in place."""
+def build_call_settings(limits: CallLimits) -> CallSettings:
+    """Build the settings of the call server from the operator's limits."""
     return CallSettings(
         max_body=limits.max_body_bytes,
         max_connections=limits.max_connections,
--- a/libs/daemon/src/verbenamill_daemon/daemon.py
+++ b/libs/daemon/src/verbenamill_daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Joins the libraries into the one process beside an upstream."""
+"""Assembly of the libraries into the daemon process beside an upstream."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -17,11 +17,11 @@
     build_app,
     serve_admin,
 )
-from verbenamill_daemon.limits import read_limits
-from verbenamill_daemon.metrics import Health, Sources, build_registry
-from verbenamill_daemon.moving import Moving, is_running
+from verbenamill_daemon.call_settings import build_call_settings
+from verbenamill_daemon.metrics import Health, MetricSources, build_registry
+from verbenamill_daemon.move_runner import MoveRunner, is_running
 from verbenamill_daemon.settings import Settings
-from verbenamill_daemon.settling import AuditWriter, Settler
+from verbenamill_daemon.settling import AuditWriter, VerdictWriter
 from verbenamill_mesh import Configuration, Mesh
 from verbenamill_model import State
 from verbenamill_model.status import Status
@@ -32,26 +32,26 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: How often the state of the own upstream is looked at.
-WATCH_PERIOD = timedelta(milliseconds=200)
-#: Time for the other daemons to hear that this one is leaving. They stop
-#: sending within 3 s at the latest; most hear of it at once.
-LEAVE_GRACE = timedelta(seconds=1)
-READY_POLL = timedelta(milliseconds=20)
-#: How long a daemon that has the configuration waits to hear of another one
-#: before it takes itself for the only one.
-ALONE_LIMIT = timedelta(seconds=2)
-#: Time for the last lines of the audit trail to reach the log.
-FLUSH_LIMIT = timedelta(seconds=2)
+#: Interval at which the state of the own upstream is polled.
+UPSTREAM_POLL_INTERVAL = timedelta(milliseconds=200)
+#: Time for the other daemons to learn that this one is leaving. Most learn it
+#: at once, and all stop sending within 3 s.
+LEAVE_PROPAGATION_DELAY = timedelta(seconds=1)
+READY_POLL_INTERVAL = timedelta(milliseconds=20)
+#: Time that a daemon with an up-to-date configuration waits to discover
+#: another daemon before it assumes that it is the only one.
+PEER_DISCOVERY_TIMEOUT = timedelta(seconds=2)
+#: Time for the remaining audit lines to reach the log during a shutdown.
+AUDIT_FLUSH_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass
 class Daemon:
-    """The parts of one daemon, and the order in which they start and stop.
+    """The components of a daemon and the order in which they start and stop.
 
-    Made by :func:`build_daemon`.
+    Created by :func:`build_daemon`.
 
-    :ivar is_open: whether it takes calls.
+    :ivar accepts_calls: whether the port for calls is open.
     """
 
     settings: Settings
@@ -59,20 +59,20 @@
     mesh: Mesh
     local: LocalUpstream
     server: CallServer
-    moving: Moving
+    move_runner: MoveRunner
     audit: AuditWriter
-    is_open: bool = False
+    accepts_calls: bool = False
 
     async def run(self, stopping: trio.Event) -> None:
-        """Serve until told to stop, then stop without cutting a request.
+        """Serve until a stop is requested, then finish the requests and exit.
 
-        :param stopping: set by the signal handler.
+        :param stopping: set by the signal handler to request the stop.
         """
         async with trio.open_nursery() as nursery:
             await nursery.start(self._run_mesh)
-            await nursery.start(self._run_admin)
-            nursery.start_soon(self._open_calls)
-            nursery.start_soon(self.moving.run)
+            await nursery.start(self._serve_admin)
+            nursery.start_soon(self._serve_calls)
+            nursery.start_soon(self.move_runner.run)
             nursery.start_soon(self.audit.run)
             nursery.start_soon(self._watch_upstream)
             nursery.start_soon(self._watch_configuration)
@@ -84,7 +84,7 @@
         log(Event.STOPPED, id=self.mesh.own_member.id)
 
     def status(self) -> Status:
-        """What this daemon runs, for the operators."""
+        """Summarise the state of this daemon for operators."""
         state = self.configuration.state
         member = self.mesh.own_member
         return Status(
@@ -93,9 +93,9 @@
             offset=state.offset,
             version=state.snapshot.version,
             digest=self.configuration.head().digest,
-            ready=self.mesh.ready and self.is_open,
+            ready=self.mesh.ready and self.accepts_calls,
             members=len(self.mesh.members()),
-            moves=len(self.moving.running()),
+            moves=len(self.move_runner.running()),
         )
 
     async def _run_mesh(
@@ -105,33 +105,34 @@
     ) -> None:
         await self.mesh.run(task_status=task_status)
 
-    async def _open_calls(self) -> None:
-        # A fresh daemon has no routes and knows no upstream. Open at once,
-        # it would answer 404 or "no upstream" to calls that any other one
-        # answers; a port that is closed sends its callers there.
+    async def _serve_calls(self) -> None:
+        # A daemon that has just started has no routes and knows no upstream.
+        # If it took calls at once, it would answer 404 or "no upstream" to
+        # calls that any other daemon can serve. While the port is closed,
+        # callers use the other daemons.
         await self._wait_ready()
         address = parse_address(self.settings.listen.calls)
         listeners = await trio.open_tcp_listeners(
             address.port,
             host=address.host,
         )
-        self.is_open = True
-        self._tell_upstream()
+        self.accepts_calls = True
+        self._publish_upstream()
         await self.server.serve(listeners)
 
     async def _wait_ready(self) -> None:
         while not self.mesh.ready:
-            await trio.sleep(READY_POLL.total_seconds())
-        with trio.move_on_after(ALONE_LIMIT.total_seconds()):
+            await trio.sleep(READY_POLL_INTERVAL.total_seconds())
+        with trio.move_on_after(PEER_DISCOVERY_TIMEOUT.total_seconds()):
             while len(self.mesh.members()) == 1:
-                await trio.sleep(READY_POLL.total_seconds())
+                await trio.sleep(READY_POLL_INTERVAL.total_seconds())
 
-    async def _run_admin(
+    async def _serve_admin(
         self,
         *,
         task_status: trio.TaskStatus[None],
     ) -> None:
-        allow_cut = self.settings.test.switches
+        may_cut_links = self.settings.test.switches
         context = AdminContext(
             status=self.status,
             state=lambda: self.configuration.state,
@@ -140,13 +141,13 @@
             calls=self.server.stats,
             announce=self._announce,
             registry=build_registry(
-                Sources(
+                MetricSources(
                     health=self._health,
                     calls=self.server.stats,
                     mesh=self.mesh.stats,
                 ),
             ),
-            cut=self.mesh.set_cut_zones if allow_cut else None,
+            cut=self.mesh.set_cut_zones if may_cut_links else None,
         )
         await serve_admin(
             build_app(context),
@@ -156,45 +157,46 @@
 
     def _announce(self, announcement: Announcement) -> None:
         self.local.announce(announcement)
-        self._tell_upstream()
+        self._publish_upstream()
 
-    def _tell_upstream(self) -> None:
-        upstream = self.local.upstream() if self.is_open else None
+    def _publish_upstream(self) -> None:
+        upstream = self.local.upstream() if self.accepts_calls else None
         if upstream != self.mesh.own_member.upstream:
             _log_upstream(upstream)
             self.mesh.announce_upstream(upstream)
 
     async def _watch_upstream(self) -> None:
         while True:
-            self._tell_upstream()
-            await trio.sleep(WATCH_PERIOD.total_seconds())
+            self._publish_upstream()
+            await trio.sleep(UPSTREAM_POLL_INTERVAL.total_seconds())
 
     async def _watch_configuration(self) -> None:
         before = self.configuration.state
         while True:
             await self.configuration.wait_beyond(before.offset)
             after = self.configuration.state
-            _log_change(before, after)
+            _log_configuration_change(before, after)
             before = after
 
     async def _stop(self) -> None:
-        # Others go on choosing this daemon until they hear that it leaves;
-        # closed at once, its port would refuse their calls. So it tells
-        # them first and serves on until they have heard.
+        # The other daemons send calls here until they learn that this one is
+        # leaving, and a port that is closed at once would refuse those calls.
+        # The daemon therefore announces that it leaves and keeps serving
+        # until the others have learned it.
         await self.mesh.leave()
-        await trio.sleep(LEAVE_GRACE.total_seconds())
+        await trio.sleep(LEAVE_PROPAGATION_DELAY.total_seconds())
         await self.server.stop()
-        await self.audit.flush(FLUSH_LIMIT)
+        await self.audit.flush(AUDIT_FLUSH_TIMEOUT)
 
     def _describe_moves(self) -> list[Any]:
-        states = self.moving.states()
+        states = self.move_runner.states()
         return [
             {
                 'move': move,
                 'state': states.get(move.id),
-                'shares': self.moving.shares(move.service),
+                'shares': self.move_runner.shares(move.service),
             }
-            for move in self.moving.running()
+            for move in self.move_runner.running()
         ]
 
     def _health(self) -> Health:
@@ -224,7 +226,7 @@
             )
 
 
-def _log_change(before: State, after: State) -> None:
+def _log_configuration_change(before: State, after: State) -> None:
     if after.snapshot.version > before.snapshot.version:
         log(Event.CONFIGURATION_APPLIED, version=after.snapshot.version)
     for line in after.audit:
@@ -258,16 +260,17 @@
     clock: Clock,
     random: Random,
 ) -> Daemon:
-    """Make the parts of a daemon from its settings; nothing runs yet."""
+    """Create the components of a daemon without starting any of them."""
     member = Member(
         id=settings.vm.id,
         availability_zone=settings.vm.availability_zone,
         region=settings.vm.region,
-        control=settings.listen.told_control,
-        calls=settings.listen.told_calls,
-        admin=settings.listen.told_admin,
-        # A restarted daemon has to win over what the others remember of it.
-        # It keeps nothing, so its incarnation comes from the wall clock.
+        control=settings.listen.advertised_control,
+        calls=settings.listen.advertised_calls,
+        admin=settings.listen.advertised_admin,
+        # The record of a restarted daemon has to supersede the one that the
+        # others still hold. The daemon persists nothing, so it derives its
+        # incarnation from the wall clock.
         incarnation=int(clock.now().timestamp() * 1000),
     )
     configuration = Configuration()
@@ -282,14 +285,14 @@
     )
 
     audit = AuditWriter(platform_log, random=random)
-    moving = Moving(
+    move_runner = MoveRunner(
         member=lambda: mesh.own_member,
         mesh=mesh,
         configuration=configuration,
-        settler=Settler(
+        verdict_writer=VerdictWriter(
             platform_log,
-            running=lambda record: is_running(configuration, record),
-            read_to=lambda: configuration.state.offset,
+            is_running=lambda record: is_running(configuration, record),
+            config_offset=lambda: configuration.state.offset,
             random=random,
         ),
         audit=audit,
@@ -299,12 +302,12 @@
         member=lambda: mesh.own_member,
         snapshot=lambda: configuration.snapshot,
         members=mesh.members,
-        shares=moving.shares,
-        observe=moving.observe,
+        shares=move_runner.shares,
+        observe=move_runner.observe,
         clock=clock,
         random=random,
     )
-    limits = read_limits(settings.calls)
+    limits = build_call_settings(settings.calls)
     local = LocalUpstream(context, limits)
     return Daemon(
         settings=settings,
@@ -312,6 +315,6 @@
         mesh=mesh,
         local=local,
         server=CallServer(context, local, limits),
-        moving=moving,
+        move_runner=move_runner,
         audit=audit,
     )
--- a/libs/daemon/src/verbenamill_daemon/main.py
+++ b/libs/daemon/src/verbenamill_daemon/main.py
@@ -1,4 +1,4 @@
-"""``verbenamilld``: starts the daemon from a settings file."""
+"""``verbenamilld``: the command that runs the daemon."""
 
 import signal
 from pathlib import Path
@@ -10,7 +10,7 @@
 from returns.result import Failure, Success
 
 from verbenamill_daemon.daemon import build_daemon
-from verbenamill_daemon.listening import find_unusable
+from verbenamill_daemon.address_checks import find_unusable_addresses
 from verbenamill_daemon.settings import (
     LoggingSettings,
     Settings,
@@ -21,7 +21,7 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log, set_up_logs
 
-BAD_SETTINGS = 2
+INVALID_SETTINGS_EXIT_CODE = 2
 
 
 def run(
@@ -33,19 +33,19 @@
     """Run the daemon beside an upstream until SIGTERM or SIGINT."""
     match load_settings(config):
         case Success(settings):
-            _end_if_any(find_unusable(settings.listen), config)
+            _exit_on_faults(find_unusable_addresses(settings.listen), config)
             _run(settings)
         case Failure(faults):
-            _end_if_any(faults, config)
+            _exit_on_faults(faults, config)
 
 
-def _end_if_any(faults: tuple[str, ...], config: Path) -> None:
+def _exit_on_faults(faults: tuple[str, ...], config: Path) -> None:
     if not faults:
         return
     set_up_logs(LoggingSettings())
     for fault in faults:
         log(Event.SETTINGS_INVALID, path=config, fault=fault)
-    raise typer.Exit(BAD_SETTINGS)
+    raise typer.Exit(INVALID_SETTINGS_EXIT_CODE)
 
 
 def _run(settings: Settings) -> None:
@@ -53,12 +53,12 @@
     try:
         trio.run(_run_until_signal, settings)
     except BaseException as error:
-        log(Event.INVARIANT_BROKEN, detail=_find_cause(error))
+        log(Event.INVARIANT_BROKEN, detail=_describe_cause(error))
         raise
 
 
-def _find_cause(error: BaseException) -> str:
-    """First innermost exception of nested groups, in one line."""
+def _describe_cause(error: BaseException) -> str:
+    """Describe the first leaf exception of nested groups in one line."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return repr(error)
@@ -74,15 +74,15 @@
     )
     stopping = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_watch_signals, stopping)
+        nursery.start_soon(_set_on_signal, stopping)
         await daemon.run(stopping)
         nursery.cancel_scope.cancel()
     await platform_log.aclose()
 
 
-async def _watch_signals(stopping: trio.Event) -> None:
-    with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
-        async for _ in received:
+async def _set_on_signal(stopping: trio.Event) -> None:
+    with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
+        async for _ in signals:
             stopping.set()
 
 
--- a/libs/daemon/src/verbenamill_daemon/metrics.py
+++ b/libs/daemon/src/verbenamill_daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the daemon, read from its parts when they are asked for.
+"""Metrics of the daemon, read from its components on each scrape.
 
 ``python -m verbenamill_daemon.metrics`` prints the page
 ``docs/operators/metrics.md``; a test fails when the two differ.
@@ -17,12 +17,12 @@
 from verbenamill_calls import CallStats
 from verbenamill_mesh import MeshStats
 
-#: Samples of one metric by the values of its labels.
+#: Samples of one metric, keyed by the values of its labels.
 Samples = Mapping[tuple[str, ...], float]
 
 
 class Health(Struct, frozen=True, kw_only=True):
-    """Figures of the daemon itself."""
+    """Values that describe the daemon as a whole."""
 
     offset: int
     version: int
@@ -31,16 +31,16 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Sources:
-    """Parts that the figures are read from."""
+class MetricSources:
+    """Functions that read the current values of the components."""
 
     health: Callable[[], Health]
     calls: Callable[[], CallStats]
     mesh: Callable[[], MeshStats]
 
 
-class Figures(Struct, frozen=True, kw_only=True):
-    """All parts read at one moment."""
+class MetricReadings(Struct, frozen=True, kw_only=True):
+    """Values of all components, read during one scrape."""
 
     health: Health
     calls: CallStats
@@ -48,64 +48,77 @@
 
 
 @dataclass(frozen=True)
-class Definition:
-    """One metric.
+class MetricDefinition:
+    """Definition of one metric.
 
-    :param is_counter: whether it only grows.
-    :param labels: names of its labels.
+    :param is_counter: whether the metric is a counter instead of a gauge.
+    :param read: reads the samples of the metric.
+    :param labels: names of the labels.
     """
 
     name: str
     is_counter: bool
     help: str
-    read: Callable[[Figures], Samples]
+    read: Callable[[MetricReadings], Samples]
     labels: tuple[str, ...] = ()
 
     @property
     def exposed_name(self) -> str:
-        """Name as a query writes it."""
+        """Name of the metric in queries."""
         return f'verbenamill_{self.name}{"_total" if self.is_counter else ""}'
 
 
-def _plain(part: str, field: str) -> Callable[[Figures], Samples]:
-    def read(figures: Figures) -> Samples:
-        return {(): getattr(getattr(figures, part), field)}
+def _read_field(
+    component: str, field: str
+) -> Callable[[MetricReadings], Samples]:
+    def read(readings: MetricReadings) -> Samples:
+        return {(): getattr(getattr(readings, component), field)}
 
     return read
 
 
-def _gauge(name: str, part: str, field: str, text: str) -> Definition:
-    return Definition(name, False, text, _plain(part, field))
+def _gauge(
+    name: str, component: str, field: str, help_text: str
+) -> MetricDefinition:
+    return MetricDefinition(
+        name, False, help_text, _read_field(component, field)
+    )
 
 
-def _counter(name: str, part: str, field: str, text: str) -> Definition:
-    return Definition(name, True, text, _plain(part, field))
+def _counter(
+    name: str, component: str, field: str, help_text: str
+) -> MetricDefinition:
+    return MetricDefinition(
+        name, True, help_text, _read_field(component, field)
+    )
 
 
-def _count_messages(figures: Figures) -> Samples:
-    return _by_direction(figures.mesh.sent, figures.mesh.received)
+def _read_messages(readings: MetricReadings) -> Samples:
+    return _label_directions(readings.mesh.sent, readings.mesh.received)
 
 
-def _count_bytes(figures: Figures) -> Samples:
-    return _by_direction(figures.mesh.sent_bytes, figures.mesh.received_bytes)
+def _read_bytes(readings: MetricReadings) -> Samples:
+    return _label_directions(
+        readings.mesh.sent_bytes, readings.mesh.received_bytes
+    )
 
 
-def _by_direction(
+def _label_directions(
     sent: Mapping[str, int],
     received: Mapping[str, int],
 ) -> Samples:
     directions = {'sent': sent, 'received': received}
     return {
         (direction, kind): number
-        for direction, by_kind in directions.items()
-        for kind, number in by_kind.items()
+        for direction, counts_by_kind in directions.items()
+        for kind, number in counts_by_kind.items()
     }
 
 
-def _by_key(field: str) -> Callable[[Figures], Samples]:
-    def read(figures: Figures) -> Samples:
-        found: dict[str, int] = getattr(figures.mesh, field)
-        return {(key,): number for key, number in found.items()}
+def _read_counts_by_key(field: str) -> Callable[[MetricReadings], Samples]:
+    def read(readings: MetricReadings) -> Samples:
+        counts: dict[str, int] = getattr(readings.mesh, field)
+        return {(key,): number for key, number in counts.items()}
 
     return read
 
@@ -201,32 +214,32 @@
         'remembered',
         'Calls known that may not be repeated.',
     ),
-    Definition(
+    MetricDefinition(
         'mesh_messages',
         True,
         'Messages to and from other daemons.',
-        _count_messages,
+        _read_messages,
         ('direction', 'kind'),
     ),
-    Definition(
+    MetricDefinition(
         'mesh_bytes',
         True,
         'Bytes of these messages, without those of TCP.',
-        _count_bytes,
+        _read_bytes,
         ('direction', 'kind'),
     ),
-    Definition(
+    MetricDefinition(
         'log_requests',
         True,
         'Reads and appends at the log; none on most daemons.',
-        _by_key('log_requests'),
+        _read_counts_by_key('log_requests'),
         ('stream',),
     ),
-    Definition(
+    MetricDefinition(
         'config_records',
         True,
         'Records taken, by where each came from first: log, push or pull.',
-        _by_key('entries_first_from'),
+        _read_counts_by_key('entries_first_from'),
         ('origin',),
     ),
     _gauge('mesh_links', 'mesh', 'links', 'Open links to other daemons.'),
@@ -277,42 +290,42 @@
 )
 
 
-class _Parts(Collector):
-    """Turns the figures of each part into metric families."""
+class _DaemonCollector(Collector):
+    """Prometheus collector for the metrics in ``DEFINITIONS``."""
 
-    def __init__(self, sources: Sources) -> None:
+    def __init__(self, sources: MetricSources) -> None:
         self._sources = sources
 
     def collect(self) -> Iterable[Metric]:
-        """Read every part once."""
-        figures = Figures(
+        """Read every component once and build the metric families."""
+        readings = MetricReadings(
             health=self._sources.health(),
             calls=self._sources.calls(),
             mesh=self._sources.mesh(),
         )
         for definition in DEFINITIONS:
-            yield _family(definition, definition.read(figures))
+            yield _build_family(definition, definition.read(readings))
 
 
-def _family(definition: Definition, samples: Samples) -> Metric:
-    kind: Any = GaugeMetricFamily
+def _build_family(definition: MetricDefinition, samples: Samples) -> Metric:
+    family_type: Any = GaugeMetricFamily
     if definition.is_counter:
-        kind = CounterMetricFamily
-    family = kind(
+        family_type = CounterMetricFamily
+    metric_family = family_type(
         f'verbenamill_{definition.name}',
         definition.help,
         labels=definition.labels,
     )
-    for labels, sample in samples.items():
-        family.add_metric(labels, float(sample))
-    return cast(Metric, family)
+    for labels, sample_value in samples.items():
+        metric_family.add_metric(labels, float(sample_value))
+    return cast(Metric, metric_family)
 
 
-def build_registry(sources: Sources) -> CollectorRegistry:
-    """Registry with the daemon's figures and those of its process."""
+def build_registry(sources: MetricSources) -> CollectorRegistry:
+    """Build a registry with the metrics of the daemon and its process."""
     registry = CollectorRegistry()
     ProcessCollector(registry=registry)
-    registry.register(_Parts(sources))
+    registry.register(_DaemonCollector(sources))
     return registry
 
 
@@ -330,7 +343,7 @@
 
 
 def render_page() -> str:
-    """Text of the page with all metrics."""
+    """Render the documentation page that lists all metrics."""
     rows = (
         f'| `{definition.exposed_name}` '
         f'| {"counter" if definition.is_counter else "gauge"} '
--- a/libs/daemon/src/verbenamill_daemon/moving.py
+++ b/libs/daemon/src/verbenamill_daemon/move_runner.py
@@ -1,4 +1,4 @@
-"""The daemon's part in moves: evidence out, decisions in, steps taken."""
+"""The daemon's part in moves: it reports evidence and makes decisions."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -6,7 +6,7 @@
 import trio
 
 from verbenamill_daemon.caching import cache_last
-from verbenamill_daemon.settling import AuditWriter, Settler
+from verbenamill_daemon.settling import AuditWriter, VerdictWriter
 from verbenamill_mesh import Configuration, Mesh
 from verbenamill_model import Move, Snapshot, VerdictRecord
 from verbenamill_model.traffic import Member, Observation, Shares
@@ -34,14 +34,14 @@
 from verbenamill_telemetry.events import Event
 from verbenamill_telemetry.logs import log
 
-#: Time between two reports of an owner, and two steps of a decider.
-PERIOD = timedelta(milliseconds=250)
+#: Interval between the reports of an owner and the steps of a decider.
+STEP_INTERVAL = timedelta(milliseconds=250)
 
 
-class Moving:
-    """Joins evidence, decisions and the mesh for the running moves.
+class MoveRunner:
+    """Connects evidence, decisions and the mesh for the running moves.
 
-    :param member: this daemon as the others see it.
+    :param member: returns the membership record of this daemon.
     """
 
     def __init__(
@@ -50,39 +50,39 @@
         member: Callable[[], Member],
         mesh: Mesh,
         configuration: Configuration,
-        settler: Settler,
+        verdict_writer: VerdictWriter,
         audit: AuditWriter,
         clock: Clock,
     ) -> None:
         self._member = member
         self._mesh = mesh
         self._configuration = configuration
-        self._settler = settler
+        self._verdict_writer = verdict_writer
         self._audit = audit
         self._clock = clock
-        me = member()
-        self._evidence = EvidenceCollector(
-            incarnation=me.incarnation,
+        own_member = member()
+        self._evidence_collector = EvidenceCollector(
+            incarnation=own_member.incarnation,
             clock=clock,
         )
         self._decider = Decider(
-            vm=me.id,
-            availability_zone=me.availability_zone,
+            vm=own_member.id,
+            availability_zone=own_member.availability_zone,
         )
-        self._period = 0
-        self._encoded: dict[str, bytes] = {}
+        self._report_period = 0
+        self._encoded_states: dict[str, bytes] = {}
         self._states: dict[Offset, MoveState] = {}
-        self._find_running = cache_last(_find_running)
-        self._find_owners = cache_last(_find_owners)
+        self._find_running_moves = cache_last(_find_running_moves)
+        self._find_service_owners = cache_last(_find_service_owners)
         mesh.add_topic(MOVES_TOPIC, merge_states)
         mesh.set_handler(REPORT_KIND, self._decider.receive)
 
     def observe(self, observation: Observation) -> None:
-        """Count one call that this owner saw end."""
-        self._evidence.observe(observation)
+        """Count a finished call to the own upstream as evidence."""
+        self._evidence_collector.observe(observation)
 
     def shares(self, name: ServiceName) -> Shares:
-        """Share of each version in the calls that arrive here."""
+        """Shares of a service's versions in the calls that this daemon gets."""
         service = self._configuration.snapshot.services[name]
         if service.move is None:
             return {service.version: 1}
@@ -94,28 +94,29 @@
         )
 
     def running(self) -> tuple[Move, ...]:
-        """The moves that run, oldest first."""
-        return self._find_running(self._configuration.snapshot)
+        """Running moves, ordered from oldest to newest."""
+        return self._find_running_moves(self._configuration.snapshot)
 
     def states(self) -> dict[Offset, MoveState]:
-        """What is known of each move, by its id.
+        """Known states of the moves, by move id.
 
-        Every call asks for it, so it is decoded again only after a change.
+        Every call reads these states, so they are decoded only when the
+        entries of the mesh have changed.
         """
         encoded = self._mesh.entries(MOVES_TOPIC)
-        if encoded != self._encoded:
-            self._encoded = dict(encoded)
+        if encoded != self._encoded_states:
+            self._encoded_states = dict(encoded)
             self._states = decode_move_states(encoded)
         return self._states
 
     async def run(self) -> None:
-        """Report and decide until cancelled."""
+        """Send reports and make decisions until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._report()
                 self._decide(nursery)
-                self._forget()
-                await trio.sleep(PERIOD.total_seconds())
+                self._drop_settled_states()
+                await trio.sleep(STEP_INTERVAL.total_seconds())
 
     def _report(self) -> None:
         member = self._member()
@@ -127,27 +128,32 @@
         if service is None or service.move is None:
             return
         zone = member.availability_zone
-        owners = self._owners()
-        self._period += 1
-        if not is_report_due(member.id, zone, owners, period=self._period):
+        owners = self._service_owners()
+        self._report_period += 1
+        if not is_report_due(
+            member.id,
+            zone,
+            owners,
+            period=self._report_period,
+        ):
             return
         decider = choose_decider(service.move, zone, owners)
-        report = self._evidence.report()
+        report = self._evidence_collector.report()
         if decider is not None and report is not None:
             self._mesh.send(decider, REPORT_KIND, report)
 
-    def _owners(self) -> dict[VmId, Member]:
-        """Daemons with an upstream of the same service as this one."""
+    def _service_owners(self) -> dict[VmId, Member]:
+        """Daemons whose upstream serves the same service as the own one."""
         upstream = self._member().upstream
         if upstream is None:
             return {}
-        return self._find_owners(self._mesh.members(), upstream.service)
+        return self._find_service_owners(self._mesh.members(), upstream.service)
 
     def _decide(self, nursery: trio.Nursery) -> None:
         actions = self._decider.step(
             snapshot=self._configuration.snapshot,
             states=self.states(),
-            members=self._owners(),
+            members=self._service_owners(),
             now=self._clock.now(),
         )
         for action in actions:
@@ -159,45 +165,49 @@
                 case SendReport(recipient=recipient, body=report):
                     self._mesh.send(recipient, REPORT_KIND, report)
                 case AppendVerdict(record=record):
-                    nursery.start_soon(self._settler.settle, record)
+                    nursery.start_soon(
+                        self._verdict_writer.append_verdict,
+                        record,
+                    )
                 case WriteAuditLine():
-                    self._note(action)
+                    self._record_audit_line(action)
 
     def _log_veto(self, move: Offset, state: MoveState) -> None:
         if not state.veto:
             return
-        for known in self.running():
-            if known.id == move:
+        for running_move in self.running():
+            if running_move.id == move:
                 log(
                     Event.MOVE_VETOED,
                     move=move,
-                    service=known.service,
+                    service=running_move.service,
                     text=state.reason,
                 )
 
-    def _note(self, note: WriteAuditLine) -> None:
+    def _record_audit_line(self, audit_line: WriteAuditLine) -> None:
         log(
             Event.MOVE_STAGE,
-            move=note.move,
-            service=note.service,
-            text=note.text,
+            move=audit_line.move,
+            service=audit_line.service,
+            text=audit_line.text,
         )
         self._audit.add(
             AuditLine(
-                at=note.at,
+                at=audit_line.at,
                 vm=self._member().id,
-                move=note.move,
-                service=note.service,
-                text=note.text,
+                move=audit_line.move,
+                service=audit_line.service,
+                text=audit_line.text,
             ),
         )
 
-    def _forget(self) -> None:
-        # A state is kept until its verdict is in this daemon's own
-        # configuration. Dropped sooner, a veto would be forgotten by a
-        # daemon that still runs the move, and the bad version would get
-        # traffic again. An id newer than the configuration is kept too: its
-        # ticket is still on the way.
+    def _drop_settled_states(self) -> None:
+        # The state of a move is kept until the move's verdict is part of
+        # this daemon's own configuration. If it were dropped earlier, this
+        # daemon would lose a veto while it still runs the move and would
+        # send traffic to the bad version again. A state whose id is above the
+        # offset of the configuration is kept too, because the ticket that
+        # began the move has not arrived yet.
         offset = self._configuration.state.offset
         running = {move_key(move.id) for move in self.running()}
         self._mesh.drop(
@@ -207,22 +217,22 @@
 
 
 def is_running(configuration: Configuration, record: VerdictRecord) -> bool:
-    """Whether the move of a verdict still waits for one."""
-    known = configuration.snapshot.services.get(record.service)
+    """Whether the configuration still lists a verdict's move as running."""
+    service = configuration.snapshot.services.get(record.service)
     return (
-        known is not None
-        and known.move is not None
-        and known.move.id == record.move
+        service is not None
+        and service.move is not None
+        and service.move.id == record.move
     )
 
 
-def _find_running(snapshot: Snapshot) -> tuple[Move, ...]:
+def _find_running_moves(snapshot: Snapshot) -> tuple[Move, ...]:
     services = snapshot.services.values()
-    moves = (known.move for known in services if known.move is not None)
-    return tuple(sorted(moves, key=_move_id))
+    moves = (service.move for service in services if service.move is not None)
+    return tuple(sorted(moves, key=_get_move_id))
 
 
-def _find_owners(
+def _find_service_owners(
     members: dict[VmId, Member],
     service: ServiceName,
 ) -> dict[VmId, Member]:
@@ -233,5 +243,5 @@
     }
 
 
-def _move_id(move: Move) -> Offset:
+def _get_move_id(move: Move) -> Offset:
     return move.id
--- a/libs/daemon/src/verbenamill_daemon/settings.py
+++ b/libs/daemon/src/verbenamill_daemon/settings.py
@@ -1,7 +1,7 @@
 """Settings of the daemon.
 
-The code is in ``verbenamill_runtime.settings``, since the command-line tool
-checks a settings file with it and may not import the daemon.
+They are defined in ``verbenamill_runtime.settings`` because the command-line
+tool validates settings files with the same code and may not import the daemon.
 """
 
 from verbenamill_runtime.settings import (
--- a/libs/daemon/src/verbenamill_daemon/settling.py
+++ b/libs/daemon/src/verbenamill_daemon/settling.py
@@ -1,4 +1,4 @@
-"""Writing verdicts and audit lines to the log without doubling them."""
+"""Writers that append verdicts and audit lines to the log service."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,130 +14,134 @@
 from verbenamill_runtime import Log, full_jitter
 from verbenamill_runtime.streams import AUDIT_STREAM, CONFIG_STREAM, AuditLine
 
-FIRST_WAIT = timedelta(milliseconds=200)
-LONGEST_WAIT = timedelta(seconds=10)
-FLUSH_POLL = timedelta(milliseconds=20)
-#: Audit lines kept while the log is away; the oldest go first.
-MAX_LINES = 1000
+FIRST_RETRY_DELAY = timedelta(milliseconds=200)
+MAX_RETRY_DELAY = timedelta(seconds=10)
+FLUSH_POLL_INTERVAL = timedelta(milliseconds=20)
+#: Audit lines held while the log is unavailable; the oldest are dropped first.
+MAX_QUEUED_LINES = 1000
 
 
-class Settler:
-    """Appends each verdict that this daemon decided, once.
+class VerdictWriter:
+    """Appends the verdicts that this daemon decided and avoids duplicates.
 
-    :param running: whether a move still waits for its verdict, as far as
-        this daemon's configuration goes.
-    :param read_to: offset up to which the configuration is known.
+    :param is_running: whether the move of a verdict is still running
+        according to this daemon's configuration.
+    :param config_offset: returns the offset of the last record that the
+        configuration includes.
     """
 
     def __init__(
         self,
         log: Log,
         *,
-        running: Callable[[VerdictRecord], bool],
-        read_to: Callable[[], Offset],
+        is_running: Callable[[VerdictRecord], bool],
+        config_offset: Callable[[], Offset],
         random: Random,
     ) -> None:
         self._log = log
-        self._running = running
-        self._read_to = read_to
+        self._is_running = is_running
+        self._config_offset = config_offset
         self._random = random
-        self._writing: set[Offset] = set()
+        self._moves_in_progress: set[Offset] = set()
 
-    async def settle(self, record: VerdictRecord) -> None:
-        """Append a verdict until it, or another one of its move, is there."""
-        if record.move in self._writing:
+    async def append_verdict(self, record: VerdictRecord) -> None:
+        """Append a verdict; retry until the log holds one for its move."""
+        if record.move in self._moves_in_progress:
             return
-        self._writing.add(record.move)
+        self._moves_in_progress.add(record.move)
         try:
-            await self._settle(record)
+            await self._append_until_settled(record)
         finally:
-            self._writing.discard(record.move)
+            self._moves_in_progress.discard(record.move)
 
-    async def _settle(self, record: VerdictRecord) -> None:
-        waits = full_jitter(
+    async def _append_until_settled(self, record: VerdictRecord) -> None:
+        delays = full_jitter(
             self._random,
-            first=FIRST_WAIT,
-            longest=LONGEST_WAIT,
+            first=FIRST_RETRY_DELAY,
+            longest=MAX_RETRY_DELAY,
         )
-        while self._running(record):
-            # An append whose answer was lost may have taken effect. Written
-            # again blindly, each try during an outage would leave one more
-            # copy on the log; so it is looked for first. A copy written all
-            # the same is ignored, since the lowest offset counts.
-            if await self._is_settled(record):
+        while self._is_running(record):
+            # An append whose response was lost may have taken effect.
+            # Unchecked retries during an outage would each add another copy
+            # to the log, so the log is searched for a verdict first. A
+            # duplicate that is written nevertheless is ignored because the
+            # verdict with the lowest offset counts.
+            if await self._has_verdict(record):
                 return
             if await self._append(record):
                 return
-            await trio.sleep(next(waits).total_seconds())
+            await trio.sleep(next(delays).total_seconds())
 
-    async def _is_settled(self, record: VerdictRecord) -> bool:
-        start = Offset(self._read_to() + 1)
+    async def _has_verdict(self, record: VerdictRecord) -> bool:
+        start = Offset(self._config_offset() + 1)
         match await self._log.read(CONFIG_STREAM, start):
             case Success(page):
                 return any(
-                    _settles(entry.body, record.move) for entry in page.entries
+                    _is_verdict_for(entry.body, record.move)
+                    for entry in page.entries
                 )
         return False
 
     async def _append(self, record: VerdictRecord) -> bool:
-        answer = await self._log.append(CONFIG_STREAM, encode_record(record))
-        return isinstance(answer, Success)
+        response = await self._log.append(CONFIG_STREAM, encode_record(record))
+        return isinstance(response, Success)
 
 
-def _settles(body: bytes, move: Offset) -> bool:
+def _is_verdict_for(body: bytes, move: Offset) -> bool:
     match decode_record(body):
-        case Success(VerdictRecord() as found):
-            return found.move == move
+        case Success(VerdictRecord() as verdict):
+            return verdict.move == move
     return False
 
 
 class AuditWriter:
-    """Passes audit lines to the log in the background."""
+    """Appends audit lines to the log in the background."""
 
     def __init__(self, log: Log, *, random: Random) -> None:
         self._log = log
         self._random = random
-        self._lines: deque[AuditLine] = deque(maxlen=MAX_LINES)
-        self._written: AuditLine | None = None
-        self._added = trio.Event()
+        self._queue: deque[AuditLine] = deque(maxlen=MAX_QUEUED_LINES)
+        self._line_in_progress: AuditLine | None = None
+        self._line_added = trio.Event()
 
     @property
-    def waiting(self) -> int:
-        """Lines that are not on the log yet."""
-        return len(self._lines) + (self._written is not None)
+    def pending_lines(self) -> int:
+        """Number of lines that are not in the log yet."""
+        return len(self._queue) + (self._line_in_progress is not None)
 
     def add(self, line: AuditLine) -> None:
-        """Queue a line; never waits."""
-        self._lines.append(line)
-        self._added.set()
+        """Queue a line without waiting."""
+        self._queue.append(line)
+        self._line_added.set()
 
     async def flush(self, limit: timedelta) -> None:
-        """Wait until all lines are on the log, or for a limited time."""
+        """Wait until all lines are in the log or the time limit has passed."""
         with trio.move_on_after(limit.total_seconds()):
-            while self.waiting:
-                await trio.sleep(FLUSH_POLL.total_seconds())
+            while self.pending_lines:
+                await trio.sleep(FLUSH_POLL_INTERVAL.total_seconds())
 
     async def run(self) -> None:
         """Append queued lines until cancelled."""
         while True:
-            await self._added.wait()
-            self._added = trio.Event()
-            while self._lines:
-                self._written = self._lines.popleft()
-                await self._write(self._written)
-                self._written = None
-
-    async def _write(self, line: AuditLine) -> None:
+            await self._line_added.wait()
+            self._line_added = trio.Event()
+            while self._queue:
+                self._line_in_progress = self._queue.popleft()
+                await self._append_until_written(self._line_in_progress)
+                self._line_in_progress = None
+
+    async def _append_until_written(self, line: AuditLine) -> None:
         body = msgspec.json.encode(line)
-        waits = full_jitter(
+        delays = full_jitter(
             self._random,
-            first=FIRST_WAIT,
-            longest=LONGEST_WAIT,
+            first=FIRST_RETRY_DELAY,
+            longest=MAX_RETRY_DELAY,
         )
-        # After a lost answer the line may stand there already. It is written
-        # again all the same: readers drop equal lines, and none is missing.
+        # If the response was lost, the log may already contain the line. It
+        # is appended again so that no line is missing; readers drop equal
+        # lines.
         while isinstance(
             await self._log.append(AUDIT_STREAM, body),
             Failure,
         ):
-            await trio.sleep(next(waits).total_seconds())
+            await trio.sleep(next(delays).total_seconds())
--- a/libs/daemon/tests/test_caching.py
+++ b/libs/daemon/tests/test_caching.py
@@ -1,24 +1,24 @@
-"""Tables that are replaced on change are looked through once each."""
+"""Tests of the cache for tables that are replaced on every change."""
 
 from verbenamill_daemon.caching import cache_last
 
 
-def test_equal_table_that_is_another_object_is_looked_through_again():
-    """A member left and another one of the same size came.
+def test_replaced_table_of_the_same_size_is_scanned_again():
+    """A table is replaced by one of the same size, with another member.
 
-    A cache that compared sizes or kept the first answer would go on naming
-    the old one as decider, and its evidence would go nowhere.
+    A cache that compared sizes or kept its first result would still name the
+    departed member as decider, and evidence sent to it would be lost.
     """
-    seen = []
+    scanned = []
 
-    def find(table, wanted):
-        seen.append(table)
-        return table.get(wanted)
+    def find(table, key):
+        scanned.append(table)
+        return table.get(key)
 
-    look_up = cache_last(find)
+    find_cached = cache_last(find)
     first = {'a': 1}
-    assert [look_up(first, 'a') for _ in range(3)] == [1, 1, 1]
-    assert seen == [first]
-    assert look_up({'a': 2}, 'a') == 2
-    assert look_up(first, 'b') is None
-    assert len(seen) == 3
+    assert [find_cached(first, 'a') for _ in range(3)] == [1, 1, 1]
+    assert scanned == [first]
+    assert find_cached({'a': 2}, 'a') == 2
+    assert find_cached(first, 'b') is None
+    assert len(scanned) == 3
--- a/libs/daemon/tests/test_daemon.py
+++ b/libs/daemon/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""One whole daemon in this process, over loopback, with a log in memory."""
+"""Tests of a whole daemon on loopback addresses with an in-memory log."""
 
 import socket
 from random import Random
@@ -8,7 +8,7 @@
 import trio
 
 from verbenamill_daemon.daemon import build_daemon
-from verbenamill_daemon.listening import find_unusable
+from verbenamill_daemon.address_checks import find_unusable_addresses
 from verbenamill_daemon.settings import Settings
 from verbenamill_mesh.testing import MemoryLog, wait_until
 from verbenamill_model import (
@@ -26,7 +26,7 @@
 )
 from verbenamill_runtime.streams import CONFIG_STREAM
 
-UPSTREAM = {
+ANNOUNCEMENT = {
     'service': 'entries',
     'version': 'v1',
     'slots': 16,
@@ -35,25 +35,25 @@
 }
 
 
-def free_addresses(count):
+def find_free_addresses(count):
     sockets = [socket.socket() for _ in range(count)]
-    for opened in sockets:
-        opened.bind(('127.0.0.1', 0))
-    ports = [opened.getsockname()[1] for opened in sockets]
-    for opened in sockets:
-        opened.close()
+    for bound_socket in sockets:
+        bound_socket.bind(('127.0.0.1', 0))
+    ports = [bound_socket.getsockname()[1] for bound_socket in sockets]
+    for bound_socket in sockets:
+        bound_socket.close()
     return [f'127.0.0.1:{port}' for port in ports]
 
 
-def build(log, **told):
-    calls, control, admin = free_addresses(3)
+def build_test_daemon(log, **announced):
+    calls, control, admin = find_free_addresses(3)
     settings = Settings(
         vm=VmSettings(id='vm-1', availability_zone='az-1', region='r-1'),
         listen=ListenSettings(
             calls=calls,
             control=control,
             admin=admin,
-            **told,
+            **announced,
         ),
         log=LogServiceSettings(url='http://127.0.0.1:9'),
     )
@@ -65,10 +65,10 @@
     )
 
 
-def run(scenario):
-    async def limited():
+def run_with_daemon(scenario):
+    async def run_scenario():
         log = MemoryLog()
-        daemon = build(log)
+        daemon = build_test_daemon(log)
         stopping = trio.Event()
         with trio.fail_after(30):
             async with trio.open_nursery() as nursery:
@@ -79,25 +79,25 @@
                     await scenario(daemon, log, client)
                 stopping.set()
 
-    trio.run(limited)
+    trio.run(run_scenario)
 
 
-def test_stop_after_leaving_ends_cleanly():
-    """A planned stop made the daemon crash instead of finishing its calls.
+def test_planned_stop_ends_cleanly():
+    """A planned stop crashed the daemon instead of finishing its calls.
 
-    It told the others that it leaves, was no member any more, and looked
-    itself up among the members to compare its upstream.
+    After announcing that it leaves, the daemon was no longer a member, yet
+    it looked itself up among the members to compare its upstream.
     """
 
     async def scenario(daemon, log, client):
-        answer = await client.put('/upstream', json=UPSTREAM)
-        assert answer.status_code == 204
+        response = await client.put('/upstream', json=ANNOUNCEMENT)
+        assert response.status_code == 204
         assert daemon.mesh.own_member.upstream is not None
 
-    run(scenario)
+    run_with_daemon(scenario)
 
 
-def test_published_ticket_is_in_force_and_shown():
+def test_published_ticket_takes_effect_and_is_shown():
     async def scenario(daemon, log, client):
         ticket = Ticket(
             number=1,
@@ -107,61 +107,64 @@
         )
         log.put(CONFIG_STREAM, encode_record(TicketRecord(ticket=ticket)))
         await wait_until(lambda: daemon.status().version == 0)
-        shown = (await client.get('/configuration')).json()
-        assert shown['routes']['e']['service'] == 'entries'
+        configuration = (await client.get('/configuration')).json()
+        assert configuration['routes']['e']['service'] == 'entries'
         metrics = (await client.get('/metrics')).text
         assert 'verbenamill_config_version 0.0' in metrics
 
-    run(scenario)
+    run_with_daemon(scenario)
 
 
 def test_bad_announcement_is_refused_with_its_reason():
     async def scenario(daemon, log, client):
-        answer = await client.put('/upstream', json=UPSTREAM | {'slots': 0})
-        assert answer.status_code == 400
-        assert 'at least 1' in answer.json()['error']
+        response = await client.put(
+            '/upstream',
+            json=ANNOUNCEMENT | {'slots': 0},
+        )
+        assert response.status_code == 400
+        assert 'at least 1' in response.json()['error']
         assert daemon.mesh.own_member.upstream is None
 
-    run(scenario)
+    run_with_daemon(scenario)
 
 
-def test_announced_address_that_is_none_is_refused():
-    """An upstream announces itself under a name, or a port is left out.
+def test_announcement_with_invalid_address_is_refused():
+    """An upstream announces a host name, or an address without a port.
 
-    Taken as it is, the first call to it ended the whole daemon.
+    When such an address was accepted, the first call to it ended the daemon.
     """
 
     async def scenario(daemon, log, client):
         for address in ('localhost:80', '127.0.0.1', 'x', '[::1'):
-            told = UPSTREAM | {'address': address}
-            answer = await client.put('/upstream', json=told)
-            assert answer.status_code == 400
-            assert 'no IP number and port' in answer.json()['error']
+            announced = ANNOUNCEMENT | {'address': address}
+            response = await client.put('/upstream', json=announced)
+            assert response.status_code == 400
+            assert 'not an IP number and port' in response.json()['error']
 
-    run(scenario)
+    run_with_daemon(scenario)
 
 
 def test_link_switch_needs_the_setting():
-    """A switch that cuts links must not be open in production."""
+    """The switch that cuts links must not be available in production."""
 
     async def scenario(daemon, log, client):
-        answer = await client.post('/cut', json={'zones': ['az-2']})
-        assert answer.status_code == 403
+        response = await client.post('/cut', json={'zones': ['az-2']})
+        assert response.status_code == 403
 
-    run(scenario)
+    run_with_daemon(scenario)
 
 
-def test_fresh_daemon_takes_no_calls_before_it_has_the_configuration():
-    """A daemon is replaced while the log is away and no peer is there.
+def test_new_daemon_refuses_calls_until_it_has_the_configuration():
+    """A daemon is replaced while the log is down and no peer is reachable.
 
-    Open at once, it answered 404 to calls that any other daemon answers;
-    closed, its callers go to the others.
+    When its port opened at once, the daemon answered 404 to calls that any
+    other daemon serves. While the port is closed, callers use the others.
     """
 
     async def scenario():
         log = MemoryLog()
         log.is_down = True
-        daemon = build(log)
+        daemon = build_test_daemon(log)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(daemon.run, trio.Event())
             await trio.sleep(1)
@@ -178,26 +181,28 @@
     trio.run(scenario)
 
 
-def test_taken_address_is_a_fault_of_the_settings():
-    """Two daemons are started with one settings file."""
-    with socket.create_server(('127.0.0.1', 0)) as taken:
-        address = f'127.0.0.1:{taken.getsockname()[1]}'
-        control, admin = free_addresses(2)
+def test_address_in_use_is_reported_as_a_settings_fault():
+    """Two daemons are started with the same settings file."""
+    with socket.create_server(('127.0.0.1', 0)) as listener:
+        address = f'127.0.0.1:{listener.getsockname()[1]}'
+        control, admin = find_free_addresses(2)
         listen = ListenSettings(calls=address, control=control, admin=admin)
-        (fault,) = find_unusable(listen)
-    assert fault.startswith(f'listen.calls = "{address}": cannot be')
-    assert not find_unusable(listen)
+        (fault,) = find_unusable_addresses(listen)
+    assert fault.startswith(f'listen.calls = "{address}": cannot listen')
+    assert not find_unusable_addresses(listen)
 
 
-def test_daemon_listens_where_it_is_told_and_tells_another_address():
-    """Its VM is reached through another address than it listens on.
+def test_daemon_advertises_another_address_than_it_listens_on():
+    """The VM is reached through an address that is not its own.
 
-    Bound to the one that others are told, which is not its own, the daemon
-    would not start at all.
+    If the daemon tried to bind the advertised address, it would not start.
     """
 
     async def scenario():
-        daemon = build(MemoryLog(), advertise_control='203.0.113.7:7001')
+        daemon = build_test_daemon(
+            MemoryLog(),
+            advertise_control='203.0.113.7:7001',
+        )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(daemon.run, trio.Event())
             with trio.fail_after(30):
--- a/libs/daemon/tests/test_metrics.py
+++ b/libs/daemon/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics can be read, have the right kinds, and are all on the page."""
+"""Tests of the metrics: values, types and the documentation page."""
 
 from pathlib import Path
 
@@ -8,9 +8,9 @@
 from verbenamill_calls import CallStats
 from verbenamill_daemon.metrics import (
     DEFINITIONS,
-    Figures,
+    MetricReadings,
     Health,
-    Sources,
+    MetricSources,
     build_registry,
     render_page,
 )
@@ -20,17 +20,17 @@
 HEALTH = Health(offset=7, version=5, ready=True, moves=1)
 
 
-def test_traffic_by_kind_can_be_read():
-    """The first daemon that heard of another answered 500 to a scrape.
+def test_counters_by_kind_are_exposed():
+    """A daemon that had discovered a peer answered 500 to a scrape.
 
-    Its counters by kind were messages, not numbers, and one of them broke
-    the whole page.
+    Its counters by kind held messages instead of numbers, and a single one
+    made the whole scrape fail.
     """
     mesh = MeshStats(links=3)
     mesh.count_sent('push', 120)
     mesh.count_received('ping', 8)
     mesh.count_log_request('config')
-    sources = Sources(
+    sources = MetricSources(
         health=lambda: HEALTH,
         calls=lambda: CallStats(calls=9, running=2),
         mesh=lambda: mesh,
@@ -47,21 +47,25 @@
     assert 'verbenamill_ready 1.0' in lines
 
 
-def test_every_figure_of_the_parts_is_exposed():
-    """A counter added to a part is seen by operators, or this fails."""
-    numbers = iter(range(1, 1000))
-    calls = CallStats(**{f.name: next(numbers) for f in fields(CallStats)})
-    plain = [f.name for f in fields(MeshStats) if f.type in {int, bool}]
-    mesh = MeshStats(**{name: next(numbers) for name in plain})
-    figures = Figures(health=HEALTH, calls=calls, mesh=mesh)
+def test_every_statistic_of_the_components_is_exposed():
+    """A counter that is added to a component needs a metric."""
+    distinct_values = iter(range(1, 1000))
+    calls = CallStats(
+        **{stat.name: next(distinct_values) for stat in fields(CallStats)}
+    )
+    scalar_names = [
+        stat.name for stat in fields(MeshStats) if stat.type in {int, bool}
+    ]
+    mesh = MeshStats(**{name: next(distinct_values) for name in scalar_names})
+    readings = MetricReadings(health=HEALTH, calls=calls, mesh=mesh)
     exposed = {
         sample
         for definition in DEFINITIONS
-        for sample in definition.read(figures).values()
+        for sample in definition.read(readings).values()
     }
-    for part in (calls, mesh):
-        for field in fields(part):
-            value = getattr(part, field.name)
+    for component in (calls, mesh):
+        for field in fields(component):
+            value = getattr(component, field.name)
             if isinstance(value, int) and field.name != 'ready':
                 assert value in exposed, f'{field.name} is not exposed'
 
--- a/libs/runtime/src/verbenamill_runtime/__init__.py
+++ b/libs/runtime/src/verbenamill_runtime/__init__.py
@@ -1,4 +1,4 @@
-"""The log service, announcements, health and clock behind interfaces."""
+"""Log service, announcements, clock and retry delays behind interfaces."""
 
 from verbenamill_runtime.announcements import (
     Announcement,
--- a/libs/runtime/src/verbenamill_runtime/announcements.py
+++ b/libs/runtime/src/verbenamill_runtime/announcements.py
@@ -1,7 +1,7 @@
 """Adapter for the announcements that an upstream sends to its daemon.
 
-This is the only module that knows their form: ``PUT /upstream`` on the
-daemon's admin address with a JSON body, repeated within the lease.
+Only this module depends on their format: the upstream sends ``PUT /upstream``
+with a JSON body to the daemon's admin address and repeats it within the lease.
 """
 
 from datetime import timedelta
@@ -14,22 +14,22 @@
 from verbenamill_model.typing import UpstreamState
 from verbenamill_http.addresses import parse_address
 
-#: An upstream that was not heard of for this long has left.
+#: An upstream that sends no announcement for this long counts as gone.
 UPSTREAM_LEASE = timedelta(seconds=2)
-PATH = '/upstream'
+ANNOUNCEMENT_PATH = '/upstream'
 
 
 class Announcement(Struct, frozen=True, kw_only=True):
-    """An upstream and where its daemon reaches it.
+    """An upstream and the address at which its daemon reaches it.
 
-    :param address: ``host:port`` where it serves calls over HTTP.
+    :param address: ``host:port`` at which the upstream serves HTTP calls.
     """
 
     upstream: Upstream
     address: str
 
 
-class _Body(Struct, forbid_unknown_fields=True):
+class _AnnouncementBody(Struct, forbid_unknown_fields=True):
     service: str
     version: str
     address: str
@@ -39,33 +39,37 @@
 
 
 def read_announcement(body: bytes) -> Result[Announcement, str]:
-    """Read an announcement, or say what is wrong with it."""
+    """Decode and validate an announcement.
+
+    :returns: the announcement, or a message that describes the fault.
+    """
     try:
-        told = msgspec.json.decode(body, type=_Body)
+        announced = msgspec.json.decode(body, type=_AnnouncementBody)
     except msgspec.MsgspecError as error:
         return Failure(f'announcement cannot be read: {error}')
     try:
-        parse_address(told.address)
+        parse_address(announced.address)
     except ValueError:
-        # Taken as it is, it would end the daemon with its first call.
+        # If the address were accepted, the first call to it would end the
+        # daemon.
         return Failure(
-            f'address {told.address!r} is no IP number and port; write it '
-            'like "10.0.0.5:8080"',
+            f'address {announced.address!r} is not an IP number and port; '
+            'use the form "10.0.0.5:8080"',
         )
-    if told.slots < 1 or told.connections < 1:
+    if announced.slots < 1 or announced.connections < 1:
         return Failure('slots and connections must be at least 1')
     return Success(
         Announcement(
             upstream=msgspec.convert(
                 {
-                    'service': told.service,
-                    'version': told.version,
-                    'state': told.state,
-                    'slots': told.slots,
-                    'connections': told.connections,
+                    'service': announced.service,
+                    'version': announced.version,
+                    'state': announced.state,
+                    'slots': announced.slots,
+                    'connections': announced.connections,
                 },
                 Upstream,
             ),
-            address=told.address,
+            address=announced.address,
         ),
     )
--- a/libs/runtime/src/verbenamill_runtime/backoff.py
+++ b/libs/runtime/src/verbenamill_runtime/backoff.py
@@ -1,4 +1,4 @@
-"""Waiting times between tries."""
+"""Delays between retries."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -11,15 +11,17 @@
     first: timedelta,
     longest: timedelta,
 ) -> Iterator[timedelta]:
-    """Endless waiting times, each uniform below a doubling bound.
+    """Generate retry delays: exponential backoff with full jitter.
 
-    A herd that lost the same source at once would otherwise come back at
-    once, again and again; uniform jitter spreads it over the whole bound.
+    Each delay is uniform between zero and a bound that doubles. Without the
+    jitter, clients that lost the same server together would all retry at
+    the same moments; the jitter spreads their retries over the whole bound.
 
-    :param first: bound of the first wait.
-    :param longest: bound that later waits never pass.
+    :param first: upper bound of the first delay.
+    :param longest: maximum of the upper bound.
+    :returns: an endless sequence of delays.
     """
-    bound = first
+    upper_bound = first
     while True:
-        yield bound * random.random()
-        bound = min(bound * 2, longest)
+        yield upper_bound * random.random()
+        upper_bound = min(upper_bound * 2, longest)
--- a/libs/runtime/src/verbenamill_runtime/clock.py
+++ b/libs/runtime/src/verbenamill_runtime/clock.py
@@ -1,4 +1,4 @@
-"""Time as an interface, so that tests can run on a clock of their own."""
+"""Clock interface that lets tests supply their own time."""
 
 from datetime import UTC, datetime, timedelta
 from typing import Protocol
@@ -7,43 +7,43 @@
 
 
 class Clock(Protocol):
-    """Source of wall and monotonic time."""
+    """Source of wall-clock and monotonic time."""
 
     def now(self) -> datetime:
-        """Wall time in UTC."""
+        """Wall-clock time in UTC."""
 
     def monotonic(self) -> timedelta:
-        """Monotonic time from a fixed but unknown moment."""
+        """Monotonic time since an unspecified reference point."""
 
 
 class SystemClock:
-    """The machine's wall clock and trio's monotonic clock.
+    """The system's wall clock and trio's monotonic clock.
 
-    Under ``trio.testing.MockClock`` the monotonic time is the mock's.
+    With ``trio.testing.MockClock``, the monotonic time comes from the mock.
     """
 
     def now(self) -> datetime:
-        """Wall time in UTC."""
+        """Wall-clock time in UTC."""
         return datetime.now(UTC)
 
     def monotonic(self) -> timedelta:
-        """Monotonic time of the running trio loop."""
+        """Monotonic time of the running trio event loop."""
         return timedelta(seconds=trio.current_time())
 
 
 class TrioClock:
-    """Wall time that advances with trio's clock; for tests.
+    """Clock for tests whose wall-clock time advances with trio's clock.
 
-    :param start: wall time at trio time 0.
+    :param start: wall-clock time at trio time 0.
     """
 
     def __init__(self, start: datetime) -> None:
         self._start = start
 
     def now(self) -> datetime:
-        """Wall time in UTC."""
+        """Wall-clock time in UTC."""
         return self._start + self.monotonic()
 
     def monotonic(self) -> timedelta:
-        """Monotonic time of the running trio loop."""
+        """Monotonic time of the running trio event loop."""
         return timedelta(seconds=trio.current_time())
--- a/libs/runtime/src/verbenamill_runtime/http_log.py
+++ b/libs/runtime/src/verbenamill_runtime/http_log.py
@@ -1,10 +1,10 @@
-"""Adapter for a log service that speaks HTTP.
+"""HTTP client of the log service.
 
-This is the only module that knows the service's protocol.
+Only this module depends on the protocol of the service:
 
-* ``POST /streams/S/records`` with the record as the body answers 201 and
+* ``POST /streams/S/records`` with the record as the body returns 201 and
   ``{"offset": N}``; 429 and 503 mean that nothing was appended.
-* ``GET /streams/S/records?from=N&limit=L&wait=SECONDS`` answers 200 and
+* ``GET /streams/S/records?from=N&limit=L&wait=SECONDS`` returns 200 and
   ``{"oldest": N, "end": N, "records": [{"offset", "at", "body"}]}`` with
   base64 bodies, or 410 with ``oldest`` when the offset has expired.
 """
@@ -20,27 +20,27 @@
 from verbenamill_model.typing import Offset
 from verbenamill_runtime.log import LogError, LogFault, LogPage
 
-#: Time allowed for an answer beyond any long poll.
+#: Time allowed for a response, in addition to the wait of a long poll.
 ANSWER_TIMEOUT = timedelta(seconds=5)
 
 
-class _Appended(Struct):
+class _AppendResponse(Struct):
     offset: Offset
 
 
-class _Stored(Struct):
+class _StoredRecord(Struct):
     offset: Offset
     at: datetime
     body: bytes
 
 
-class _Page(Struct):
+class _PageResponse(Struct):
     oldest: Offset
     end: Offset
-    records: list[_Stored]
+    records: list[_StoredRecord]
 
 
-class _Expired(Struct):
+class _ExpiredResponse(Struct):
     oldest: Offset
 
 
@@ -48,6 +48,7 @@
     """A :class:`~verbenamill_runtime.log.Log` over HTTP.
 
     :param url: base URL of the service.
+    :param timeout: time allowed for a response, without any long poll.
     """
 
     def __init__(self, url: str, *, timeout: timedelta = ANSWER_TIMEOUT):
@@ -63,18 +64,19 @@
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append one record and learn its offset."""
+        """Append a record and return its offset."""
         try:
             response = await self._client.post(
                 f'/streams/{stream}/records',
                 content=body,
             )
-        except (httpx.ConnectError, httpx.ConnectTimeout) as refused:
-            return _fail(LogFault.NOT_APPENDED, repr(refused))
-        except httpx.HTTPError as lost:
-            # The request may have arrived, so the record may be there.
-            return _fail(LogFault.UNKNOWN, repr(lost))
-        return _read_append(response)
+        except (httpx.ConnectError, httpx.ConnectTimeout) as connect_error:
+            return _make_failure(LogFault.NOT_APPENDED, repr(connect_error))
+        except httpx.HTTPError as transport_error:
+            # The service may have received the request and appended the
+            # record.
+            return _make_failure(LogFault.UNKNOWN, repr(transport_error))
+        return _parse_append_response(response)
 
     async def read(
         self,
@@ -84,7 +86,7 @@
         limit: int = 500,
         wait: timedelta = timedelta(0),
     ) -> Result[LogPage, LogError]:
-        """Read records from an offset; wait for one when there is none."""
+        """Read records from an offset; wait for one if there is none yet."""
         try:
             response = await self._client.get(
                 f'/streams/{stream}/records',
@@ -96,45 +98,52 @@
                 timeout=(wait + self._timeout).total_seconds(),
             )
         except httpx.HTTPError as error:
-            return _fail(LogFault.UNAVAILABLE, repr(error))
-        return _read_page(response)
+            return _make_failure(LogFault.UNAVAILABLE, repr(error))
+        return _parse_page_response(response)
 
     async def aclose(self) -> None:
-        """Close the connections."""
+        """Close the connections to the service."""
         await self._client.aclose()
 
 
-def _fail(fault: LogFault, detail: str) -> Failure[LogError]:
+def _make_failure(fault: LogFault, detail: str) -> Failure[LogError]:
     return Failure(LogError(fault=fault, detail=detail))
 
 
-def _read_append(response: httpx.Response) -> Result[Offset, LogError]:
+def _parse_append_response(
+    response: httpx.Response,
+) -> Result[Offset, LogError]:
     if response.status_code == httpx.codes.TOO_MANY_REQUESTS:
-        return _fail(LogFault.THROTTLED, response.text)
+        return _make_failure(LogFault.THROTTLED, response.text)
     if response.status_code == httpx.codes.SERVICE_UNAVAILABLE:
-        return _fail(LogFault.NOT_APPENDED, response.text)
+        return _make_failure(LogFault.NOT_APPENDED, response.text)
     if response.status_code != httpx.codes.CREATED:
-        return _fail(
+        return _make_failure(
             LogFault.UNKNOWN,
             f'status {response.status_code}: {response.text}',
         )
     try:
-        appended = msgspec.json.decode(response.content, type=_Appended)
+        appended = msgspec.json.decode(response.content, type=_AppendResponse)
     except msgspec.MsgspecError as error:
-        return _fail(LogFault.UNKNOWN, str(error))
+        return _make_failure(LogFault.UNKNOWN, str(error))
     return Success(appended.offset)
 
 
-def _read_page(response: httpx.Response) -> Result[LogPage, LogError]:
+def _parse_page_response(response: httpx.Response) -> Result[LogPage, LogError]:
     try:
-        return _decode_page(response)
+        return _decode_page_response(response)
     except msgspec.MsgspecError as error:
-        return _fail(LogFault.UNAVAILABLE, f'unreadable answer: {error}')
+        return _make_failure(
+            LogFault.UNAVAILABLE,
+            f'unreadable response: {error}',
+        )
 
 
-def _decode_page(response: httpx.Response) -> Result[LogPage, LogError]:
+def _decode_page_response(
+    response: httpx.Response,
+) -> Result[LogPage, LogError]:
     if response.status_code == httpx.codes.GONE:
-        expired = msgspec.json.decode(response.content, type=_Expired)
+        expired = msgspec.json.decode(response.content, type=_ExpiredResponse)
         return Failure(
             LogError(
                 fault=LogFault.EXPIRED,
@@ -143,13 +152,17 @@
             ),
         )
     if response.status_code != httpx.codes.OK:
-        return _fail(
+        return _make_failure(
             LogFault.UNAVAILABLE,
             f'status {response.status_code}: {response.text}',
         )
-    page = msgspec.json.decode(response.content, type=_Page)
+    page = msgspec.json.decode(response.content, type=_PageResponse)
     entries = tuple(
-        Entry(offset=stored.offset, at=stored.at, body=stored.body)
-        for stored in page.records
+        Entry(
+            offset=stored_record.offset,
+            at=stored_record.at,
+            body=stored_record.body,
+        )
+        for stored_record in page.records
     )
     return Success(LogPage(entries=entries, oldest=page.oldest, end=page.end))
--- a/libs/runtime/src/verbenamill_runtime/log.py
+++ b/libs/runtime/src/verbenamill_runtime/log.py
@@ -1,7 +1,7 @@
-"""The platform's log service behind a narrow interface.
+"""Interface to the platform's log service.
 
-Outcomes are values: an append that may or may not have taken effect says
-so, since its caller has to look before it repeats it.
+Failures are returned as values. An append whose outcome is unknown is
+reported as such, because the caller has to read the log before a retry.
 """
 
 from datetime import timedelta
@@ -17,9 +17,10 @@
 
 @unique
 class LogFault(str, Enum):
-    """What went wrong at the log.
+    """Kinds of failures of the log service.
 
-    ``NOT_TAKEN`` is certain; after ``UNKNOWN`` the append may be there.
+    After ``NOT_APPENDED`` the log certainly lacks the record; after
+    ``UNKNOWN`` the record may have been appended.
     """
 
     NOT_APPENDED = 'not-taken'
@@ -32,7 +33,7 @@
 class LogError(Struct, frozen=True, kw_only=True):
     """A failed read or append.
 
-    :param oldest: first offset still there, with ``EXPIRED``.
+    :param oldest: first offset that the log still has, with ``EXPIRED``.
     """
 
     fault: LogFault
@@ -41,10 +42,10 @@
 
 
 class LogPage(Struct, frozen=True, kw_only=True):
-    """Consecutive records from the offset that was asked for.
+    """Consecutive records that start at the requested offset.
 
-    :param oldest: first offset the log still has.
-    :param end: offset that the next append will get.
+    :param oldest: first offset that the log still has.
+    :param end: offset that the next appended record will get.
     """
 
     entries: tuple[Entry, ...]
@@ -53,14 +54,14 @@
 
 
 class Log(Protocol):
-    """One client of the log service."""
+    """Client of the log service."""
 
     async def append(
         self,
         stream: str,
         body: bytes,
     ) -> Result[Offset, LogError]:
-        """Append one record and learn its offset."""
+        """Append a record and return its offset."""
 
     async def read(
         self,
@@ -70,4 +71,4 @@
         limit: int = 500,
         wait: timedelta = timedelta(0),
     ) -> Result[LogPage, LogError]:
-        """Read records from an offset; wait for one when there is none."""
+        """Read records from an offset; wait for one if there is none yet."""
--- a/libs/runtime/src/verbenamill_runtime/settings.py
+++ b/libs/runtime/src/verbenamill_runtime/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a daemon, read from TOML and checked whole.
+"""Settings of a daemon, loaded from TOML and fully validated.
 
-They live here, below the daemon, because the command-line tool checks a
-file with the same code that the daemon starts with.
+They are defined in this library rather than in the daemon because the
+command-line tool validates settings files with the same code.
 """
 
 import tomllib
@@ -12,7 +12,7 @@
 from returns.result import Failure, Result, Success
 
 from verbenamill_model.faults import Fault
-from verbenamill_runtime.settings_checks import find_clashes
+from verbenamill_runtime.settings_checks import find_conflicts
 from verbenamill_runtime.settings_reader import read_sections
 from verbenamill_runtime.settings_types import (
     CallLimits,
@@ -43,10 +43,10 @@
 
 
 def load_settings(path: Path) -> Result[Settings, tuple[str, ...]]:
-    """Read a settings file.
+    """Read and validate a settings file.
 
-    :returns: the settings, or every fault as one line with its key, the
-        value that was found and what was expected.
+    :returns: the settings, or one line for each fault with its key, the
+        value found and the value expected.
     """
     try:
         text = path.read_text(encoding='utf-8')
@@ -60,9 +60,9 @@
 def parse_settings(
     text: str,
 ) -> Result[Settings, tuple[Fault, ...]]:
-    """Check the text of a settings file whole.
+    """Parse and validate the text of a settings file.
 
-    :returns: the settings, or every fault.
+    :returns: the settings, or all faults.
     """
     try:
         document: Mapping[str, Any] = tomllib.loads(text)
@@ -73,5 +73,5 @@
     if faults:
         return Failure(faults)
     settings = Settings(**sections)
-    clashes = find_clashes(settings)
-    return Failure(clashes) if clashes else Success(settings)
+    conflicts = find_conflicts(settings)
+    return Failure(conflicts) if conflicts else Success(settings)
--- a/libs/runtime/src/verbenamill_runtime/settings_checks.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_checks.py
@@ -1,4 +1,4 @@
-"""Combinations of settings that cannot work together."""
+"""Checks for settings that conflict with each other."""
 
 from itertools import combinations
 
@@ -7,48 +7,54 @@
 from verbenamill_runtime.settings_types import ListenSettings, Settings
 
 
-def find_clashes(settings: Settings) -> tuple[Fault, ...]:
-    """Faults of settings that are each good by themselves."""
+def find_conflicts(settings: Settings) -> tuple[Fault, ...]:
+    """Find conflicts between settings that are valid individually."""
     return (
         *_find_shared_addresses(settings.listen),
-        *_find_unreachable(settings.listen),
-        *_find_loopback(settings),
-        *_find_contradictions(settings),
+        *_find_unreachable_addresses(settings.listen),
+        *_find_unreachable_loopback(settings),
+        *_find_value_conflicts(settings),
     )
 
 
 _LISTENERS = ('calls', 'control', 'admin')
 
 
-def _addresses(listen: ListenSettings, form: str) -> dict[str, Address]:
-    """Addresses that are set, by listener, of ``calls`` and the like.
+def _collect_addresses(
+    listen: ListenSettings,
+    key_prefix: str,
+) -> dict[str, Address]:
+    """Addresses that are set, by listener name.
 
-    :param form: prefix of the key, such as ``advertise_``.
+    :param key_prefix: prefix of the settings keys, such as ``advertise_`` or an
+        empty string.
     """
-    found = {name: getattr(listen, f'{form}{name}') for name in _LISTENERS}
+    settings_by_name = {
+        name: getattr(listen, f'{key_prefix}{name}') for name in _LISTENERS
+    }
     return {
         name: parse_address(address)
-        for name, address in found.items()
+        for name, address in settings_by_name.items()
         if address is not None
     }
 
 
 def _find_shared_addresses(listen: ListenSettings) -> list[Fault]:
-    pairs = combinations(_addresses(listen, '').items(), 2)
+    pairs = combinations(_collect_addresses(listen, '').items(), 2)
     return [
         Fault(
             key=f'listen.{name}',
             found=f'"{address}"',
             expected=f'a port that listen.{other} does not use',
         )
-        for (other, taken), (name, address) in pairs
-        if address.overlaps(taken)
+        for (other, other_address), (name, address) in pairs
+        if address.overlaps(other_address)
     ]
 
 
-def _find_unreachable(listen: ListenSettings) -> list[Fault]:
-    """Addresses that the other daemons would be told but cannot use."""
-    told = _addresses(listen, 'advertise_')
+def _find_unreachable_addresses(listen: ListenSettings) -> list[Fault]:
+    """Find addresses that other daemons would get but could not reach."""
+    advertised = _collect_addresses(listen, 'advertise_')
     missing = [
         Fault(
             key=f'listen.advertise_{name}',
@@ -57,8 +63,8 @@
                 f'listen.{name} = "{address}" is every interface'
             ),
         )
-        for name, address in _addresses(listen, '').items()
-        if address.is_wildcard and name not in told
+        for name, address in _collect_addresses(listen, '').items()
+        if address.is_wildcard and name not in advertised
     ]
     unusable = [
         Fault(
@@ -66,23 +72,23 @@
             found=f'"{address}"',
             expected='one IP number and a port above 0',
         )
-        for name, address in told.items()
+        for name, address in advertised.items()
         if address.is_wildcard or address.port == 0
     ]
     return [*missing, *unusable]
 
 
-def _find_loopback(settings: Settings) -> list[Fault]:
-    """A daemon on loopback that is to join daemons on other machines."""
-    told = parse_address(settings.listen.told_control)
+def _find_unreachable_loopback(settings: Settings) -> list[Fault]:
+    """Find a loopback control address in a mesh with remote seeds."""
+    advertised = parse_address(settings.listen.advertised_control)
     seeds = map(parse_address, settings.mesh.seeds)
     remote = next((seed for seed in seeds if not seed.is_loopback), None)
-    if remote is None or not told.is_loopback:
+    if remote is None or not advertised.is_loopback:
         return []
     return [
         Fault(
             key='listen.control',
-            found=f'"{told}"',
+            found=f'"{advertised}"',
             expected=(
                 f'an address that the seed {remote} can reach, '
                 'or listen.advertise_control'
@@ -91,11 +97,11 @@
     ]
 
 
-def _find_contradictions(settings: Settings) -> list[Fault]:
+def _find_value_conflicts(settings: Settings) -> list[Fault]:
     faults = []
     calls = settings.calls
     if calls.shutdown_timeout <= calls.queue_timeout:
-        # Calls that wait for a slot would be cut by a graceful stop.
+        # A graceful shutdown would cut off calls that still wait for a slot.
         faults.append(
             Fault(
                 key='calls.shutdown_timeout',
@@ -108,7 +114,7 @@
         )
     admin = parse_address(settings.listen.admin)
     if settings.test.switches and not admin.is_loopback:
-        # Whoever reaches the admin address could cut the mesh apart.
+        # Anyone who can reach the admin address could partition the mesh.
         faults.append(
             Fault(
                 key='test.switches',
--- a/libs/runtime/src/verbenamill_runtime/settings_fields.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_fields.py
@@ -1,4 +1,4 @@
-"""Kinds of settings: how a value is read and what is expected of it."""
+"""Field types of the settings, with their readers and descriptions."""
 
 import re
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from verbenamill_model.durations import parse_duration
 from verbenamill_http.addresses import parse_address
 
-#: Reads a value of the file; raises ValueError when it does not fit.
+#: Reads a value of the settings file; raises ValueError if it is invalid.
 Reader = Callable[[Any], Any]
 
 _NAME = re.compile('[A-Za-z0-9][A-Za-z0-9._-]{0,99}')
@@ -23,27 +23,27 @@
     return Meta(description=expected, extra={'read': read})
 
 
-def _read_name(found: Any) -> str:
-    if not isinstance(found, str) or not _NAME.fullmatch(found):
+def _read_name(value: Any) -> str:
+    if not isinstance(value, str) or not _NAME.fullmatch(value):
         raise ValueError
-    return found
+    return value
 
 
-def _read_url(found: Any) -> str:
-    if not isinstance(found, str):
+def _read_url(value: Any) -> str:
+    if not isinstance(value, str):
         raise ValueError
-    parts = urlsplit(found)
+    parts = urlsplit(value)
     if parts.scheme not in {'http', 'https'} or not parts.hostname:
         raise ValueError
     if parts.query or parts.fragment or parts.port == 0:
         raise ValueError
-    return found
+    return value
 
 
-def _read_flag(found: Any) -> bool:
-    if not isinstance(found, bool):
+def _read_flag(value: Any) -> bool:
+    if not isinstance(value, bool):
         raise ValueError
-    return found
+    return value
 
 
 Name = _setting(
@@ -57,14 +57,14 @@
 Flag = _setting('true or false', _read_flag)
 
 
-def _read_address(found: Any) -> str:
-    return str(parse_address(found))
+def _read_address(value: Any) -> str:
+    return str(parse_address(value))
 
 
-def _read_addresses(found: Any) -> tuple[str, ...]:
-    if not isinstance(found, list):
+def _read_addresses(value: Any) -> tuple[str, ...]:
+    if not isinstance(value, list):
         raise ValueError
-    addresses = tuple(map(parse_address, found))
+    addresses = tuple(map(parse_address, value))
     if any(address.is_wildcard or address.port == 0 for address in addresses):
         raise ValueError
     return tuple(map(str, addresses))
@@ -80,45 +80,45 @@
 )
 
 
-def _read_integer(found: Any, *, least: int, most: int) -> int:
-    # A bool is an int to Python but not to whoever wrote the file.
-    if not isinstance(found, int) or isinstance(found, bool):
+def _read_integer(value: Any, *, minimum: int, maximum: int) -> int:
+    # bool is a subclass of int, but a TOML boolean is not a number.
+    if not isinstance(value, int) or isinstance(value, bool):
         raise ValueError
-    if not least <= found <= most:
+    if not minimum <= value <= maximum:
         raise ValueError
-    return found
+    return value
 
 
-def integer_in_range(least: int, most: int) -> Meta:
-    """Metadata of a whole number in a range, ends included."""
+def integer_in_range(minimum: int, maximum: int) -> Meta:
+    """Field metadata for an integer in an inclusive range."""
     return _setting(
-        f'a whole number from {least} to {most}',
-        partial(_read_integer, least=least, most=most),
+        f'a whole number from {minimum} to {maximum}',
+        partial(_read_integer, minimum=minimum, maximum=maximum),
     )
 
 
 def _read_duration(
-    found: Any,
+    value: Any,
     *,
-    least: timedelta,
-    most: timedelta,
+    minimum: timedelta,
+    maximum: timedelta,
 ) -> timedelta:
-    duration = parse_duration(found)
-    if not least <= duration <= most:
+    duration = parse_duration(value)
+    if not minimum <= duration <= maximum:
         raise ValueError
     return duration
 
 
-def duration_in_range(least: timedelta, most: timedelta) -> Meta:
-    """Metadata of a duration in a range, ends included."""
+def duration_in_range(minimum: timedelta, maximum: timedelta) -> Meta:
+    """Field metadata for a duration in an inclusive range."""
     return _setting(
         'a number with a unit (ms, s, m, h) in quotes, such as "3s", from '
-        f'{least.total_seconds():g}s to {most.total_seconds():g}s',
-        partial(_read_duration, least=least, most=most),
+        f'{minimum.total_seconds():g}s to {maximum.total_seconds():g}s',
+        partial(_read_duration, minimum=minimum, maximum=maximum),
     )
 
 
 def one_of(choices: type[Enum]) -> Meta:
-    """Metadata of one of the values of an Enum."""
+    """Field metadata for one of the values of an enum."""
     names = ', '.join(f'"{choice.value}"' for choice in choices)
     return _setting(f'one of {names}', choices)
--- a/libs/runtime/src/verbenamill_runtime/settings_reader.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reading of a settings document, section by section, with every fault."""
+"""Reader for the sections of a settings file that collects all faults."""
 
 from collections.abc import Mapping
 from typing import Any, get_args
@@ -16,17 +16,17 @@
 ) -> tuple[dict[str, Any], tuple[Fault, ...]]:
     """Read each section of a document into its struct.
 
-    :param settings: struct with one field a section.
-    :returns: the sections that could be read, and all faults.
+    :param settings: struct with one field for each section.
+    :returns: the sections without faults, and all faults found.
     """
-    known = {field.name: field for field in fields(settings)}
+    fields_by_name = {field.name: field for field in fields(settings)}
     faults = [
-        unknown_key(name, found, known)
+        unknown_key(name, found, fields_by_name)
         for name, found in document.items()
-        if name not in known
+        if name not in fields_by_name
     ]
     sections = {}
-    for name, field in known.items():
+    for name, field in fields_by_name.items():
         if name not in document and not field.required:
             continue
         table = document.get(name, {})
@@ -39,10 +39,10 @@
                 ),
             )
             continue
-        found_values, found_faults = _read_section(name, field.type, table)
-        faults.extend(found_faults)
-        if not found_faults:
-            sections[name] = field.type(**found_values)
+        section_values, section_faults = _read_section(name, field.type, table)
+        faults.extend(section_faults)
+        if not section_faults:
+            sections[name] = field.type(**section_values)
     return sections, tuple(faults)
 
 
@@ -51,21 +51,21 @@
     struct: type[Struct],
     table: Mapping[str, Any],
 ) -> tuple[dict[str, Any], list[Fault]]:
-    known = {field.name: field for field in fields(struct)}
+    fields_by_name = {field.name: field for field in fields(struct)}
     faults = [
-        unknown_key(f'{section}.{name}', found, known)
+        unknown_key(f'{section}.{name}', found, fields_by_name)
         for name, found in table.items()
-        if name not in known
+        if name not in fields_by_name
     ]
     values = {}
-    for name, field in known.items():
+    for name, field in fields_by_name.items():
         key = f'{section}.{name}'
         if name not in table:
             if _is_required(field):
-                expected, _ = _meta(field)
+                expected, _ = _get_field_metadata(field)
                 faults.append(Fault(key=key, expected=expected))
             continue
-        expected, read = _meta(field)
+        expected, read = _get_field_metadata(field)
         try:
             values[name] = read(table[name])
         except ValueError:
@@ -79,7 +79,9 @@
     return field.default is NODEFAULT and field.default_factory is NODEFAULT
 
 
-def _meta(field: FieldInfo) -> tuple[str, Reader]:
-    meta: Meta = get_args(field.type)[1]
-    assert meta.description and meta.extra, f'{field.name} has no reader'
-    return meta.description, meta.extra['read']
+def _get_field_metadata(field: FieldInfo) -> tuple[str, Reader]:
+    metadata: Meta = get_args(field.type)[1]
+    assert metadata.description and metadata.extra, (
+        f'{field.name} has no reader or description'
+    )
+    return metadata.description, metadata.extra['read']
--- a/libs/runtime/src/verbenamill_runtime/settings_types.py
+++ b/libs/runtime/src/verbenamill_runtime/settings_types.py
@@ -1,4 +1,4 @@
-"""What a settings file may contain: one struct a section."""
+"""Structs of the settings file, one for each section."""
 
 from datetime import timedelta
 from typing import Annotated
@@ -20,7 +20,7 @@
 
 
 class VmSettings(Struct, frozen=True, kw_only=True):
-    """Who this daemon is."""
+    """Identity and location of the VM on which the daemon runs."""
 
     id: Annotated[VmId, Name]
     availability_zone: Annotated[AvailabilityZone, Name]
@@ -28,10 +28,10 @@
 
 
 class ListenSettings(Struct, frozen=True, kw_only=True):
-    """Where the daemon listens, and what it tells others to connect to.
+    """Addresses that the daemon listens on and advertises to others.
 
-    :param advertise_calls: where it differs from ``calls``; likewise the
-        other two.
+    :param advertise_calls: address for calls that other daemons connect to,
+        if it differs from ``calls``; the other two work alike.
     """
 
     calls: Annotated[str, SocketAddress]
@@ -42,46 +42,49 @@
     advertise_admin: Annotated[str | None, SocketAddress] = None
 
     @property
-    def told_calls(self) -> str:
-        """Address for calls that the other daemons are told."""
+    def advertised_calls(self) -> str:
+        """Address for calls that the daemon advertises to others."""
         return self.advertise_calls or self.calls
 
     @property
-    def told_control(self) -> str:
-        """Address for links that the other daemons are told."""
+    def advertised_control(self) -> str:
+        """Address for mesh links that the daemon advertises to others."""
         return self.advertise_control or self.control
 
     @property
-    def told_admin(self) -> str:
-        """Address of the admin API that the others are told."""
+    def advertised_admin(self) -> str:
+        """Address of the admin API that the daemon advertises to others."""
         return self.advertise_admin or self.admin
 
 
 class LogServiceSettings(Struct, frozen=True, kw_only=True):
-    """Where the platform's log service is."""
+    """Location of the platform's log service."""
 
     url: Annotated[str, HttpUrl]
 
 
 class MeshSettings(Struct, frozen=True, kw_only=True):
-    """How the daemon finds the others.
+    """How the daemon discovers the other daemons.
 
-    :param seeds: control addresses that are tried first; empty for the
-        first daemon.
+    :param seeds: control addresses that the daemon contacts first; empty
+        for the first daemon of a mesh.
     """
 
     seeds: Annotated[tuple[str, ...], SocketAddresses] = ()
 
 
 class CallLimits(Struct, frozen=True, kw_only=True):
-    """Bounds of what the daemon holds for callers.
+    """Limits on the resources that the daemon uses for calls.
 
-    :param max_body_bytes: longest request body that is taken.
-    :param max_connections: open connections from callers and daemons.
+    :param max_body_bytes: size limit of a request body.
+    :param max_connections: limit of open connections from callers and
+        daemons.
     :param queue_factor: calls that may wait for each slot of the upstream.
-    :param queue_timeout: longest such wait before the call is shed.
-    :param remembered_requests: finished request ids that are kept.
-    :param shutdown_timeout: longest a graceful stop waits for calls.
+    :param queue_timeout: time limit of this wait, after which the call is
+        shed.
+    :param remembered_requests: number of finished request ids that are kept.
+    :param shutdown_timeout: time limit for calls to finish in a graceful
+        shutdown.
     """
 
     max_body_bytes: Annotated[int, integer_in_range(1, 1 << 30)] = 64 << 20
@@ -99,20 +102,20 @@
 
 
 class LoggingSettings(Struct, frozen=True, kw_only=True):
-    """How events are written."""
+    """How log events are written."""
 
     level: Annotated[LogLevel, one_of(LogLevel)] = LogLevel.INFO
     format: Annotated[LogFormat, one_of(LogFormat)] = LogFormat.TEXT
 
 
 class TestSettings(Struct, frozen=True, kw_only=True):
-    """Switches that only tests may have."""
+    """Switches that are for tests only."""
 
     switches: Annotated[bool, Flag] = False
 
 
 class Settings(Struct, frozen=True, kw_only=True):
-    """All settings of a daemon; one field a section of the file."""
+    """All settings of a daemon, with one field for each section."""
 
     vm: VmSettings
     listen: ListenSettings
--- a/libs/runtime/src/verbenamill_runtime/streams.py
+++ b/libs/runtime/src/verbenamill_runtime/streams.py
@@ -1,4 +1,4 @@
-"""Streams of the log, and the record of the audit trail."""
+"""Names of the streams of the log, and the record of the audit stream."""
 
 from datetime import datetime
 
@@ -6,18 +6,19 @@
 
 from verbenamill_model.typing import Offset, ServiceName, VmId
 
-#: Tickets of operators, and the verdicts of moves.
+#: Tickets of operators and verdicts of moves.
 CONFIG_STREAM = 'config'
-#: Steps of moves, for people.
+#: Steps of moves, recorded for operators.
 AUDIT_STREAM = 'audit'
-#: States of ``config``, for readers that come after its head has expired.
+#: Snapshots of the state that ``config`` defines, for readers that start
+#: after its oldest records have expired.
 CHECKPOINTS_STREAM = 'checkpoints'
 #: Addresses of daemons in each availability zone.
 GATEWAYS_STREAM = 'gateways'
 
 
 class AuditLine(Struct, frozen=True, kw_only=True):
-    """One step of a move as it stands on the ``audit`` stream.
+    """One step of a move, as recorded on the ``audit`` stream.
 
     :param move: offset of the ticket record that began the move.
     """
--- a/libs/runtime/tests/test_settings.py
+++ b/libs/runtime/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and each fault says what to write."""
+"""Tests that settings are validated and that faults say what is expected."""
 
 from datetime import timedelta
 
@@ -7,7 +7,7 @@
 
 from verbenamill_runtime.settings import parse_settings, load_settings
 
-GOOD = """
+VALID_SETTINGS = """
 [vm]
 id = "vm-1"
 availability_zone = "tx-central-a"
@@ -21,12 +21,12 @@
 """
 
 
-def faults_of(text):
+def find_faults(text):
     return [str(fault) for fault in parse_settings(text).failure()]
 
 
-def test_defaults_and_units():
-    text = f'{GOOD}\n[calls]\nqueue_timeout = "250ms"\n'
+def test_defaults_and_durations_are_read():
+    text = f'{VALID_SETTINGS}\n[calls]\nqueue_timeout = "250ms"\n'
     settings = parse_settings(text).unwrap()
     assert settings.listen.control == '127.0.0.1:7002'
     assert settings.calls.queue_timeout == timedelta(milliseconds=250)
@@ -34,14 +34,15 @@
     assert not settings.test.switches
 
 
-def test_every_fault_is_listed_at_once():
-    """An operator corrects a file once, not once a fault.
+def test_all_faults_are_reported_together():
+    """An operator can correct all faults of a file in one pass.
 
-    A file with an unknown section, an unknown key, a wrong type, a missing
-    unit and a missing key must name all five with what was expected.
+    For a file with an unknown section, an unknown key, a wrong type, a
+    missing unit and a missing key, all five faults are reported together
+    with the expected value.
     """
-    faults = faults_of(
-        GOOD.replace('region = "tx-central"', 'reigon = "tx-central"')
+    faults = find_faults(
+        VALID_SETTINGS.replace('region = "tx-central"', 'reigon = "tx-central"')
         + '[calls]\nqueue_timeout = 3\nqueue_factor = "64"\n[lgo]\n',
     )
     assert faults == [
@@ -69,21 +70,21 @@
         ('[log]', '[logging]\nlevel = "loud"\n[log]', 'logging.level'),
     ],
 )
-def test_faulty_combinations(before, after, key):
-    assert before in GOOD
-    [fault] = faults_of(GOOD.replace(before, after, 1))
+def test_invalid_settings_are_reported_with_their_key(before, after, key):
+    assert before in VALID_SETTINGS
+    [fault] = find_faults(VALID_SETTINGS.replace(before, after, 1))
     assert key in fault.partition(': ')[0]
 
 
-def test_switches_need_a_private_admin_address():
-    """A production daemon with test switches could be cut off by anyone."""
-    text = GOOD.replace('admin = "127.0.0.1', 'admin = "10.0.0.5')
+def test_switches_need_an_admin_address_on_loopback():
+    """With test switches, anyone who reaches the address can cut links."""
+    text = VALID_SETTINGS.replace('admin = "127.0.0.1', 'admin = "10.0.0.5')
     assert is_successful(parse_settings(text))
-    [fault] = faults_of(f'{text}\n[test]\nswitches = true\n')
+    [fault] = find_faults(f'{text}\n[test]\nswitches = true\n')
     assert fault.startswith('test.switches = true')
 
 
-def test_unreadable_files(tmp_path):
+def test_unreadable_files_are_reported(tmp_path):
     [missing] = load_settings(tmp_path / 'none.toml').failure()
     assert 'none.toml' in missing
     broken = tmp_path / 'broken.toml'
