--- a/libs/calls/src/verbenamill_calls/body.py
+++ b/libs/calls/src/verbenamill_calls/body.py
@@ -29,7 +29,7 @@
 class Limits:
     """Bounds on the relay of a message.
 
-    :param deadline: on the clock's ``elapsed`` scale.
+    :param deadline: on the clock's ``monotonic`` scale.
     :param silence: longest wait for the next bytes, in seconds.
     """
 
--- a/libs/calls/src/verbenamill_calls/call.py
+++ b/libs/calls/src/verbenamill_calls/call.py
@@ -23,7 +23,7 @@
     """One call, as ingress and owner both see it.
 
     :param headers: end-to-end headers only.
-    :param deadline: on the clock's ``elapsed`` scale.
+    :param deadline: on the clock's ``monotonic`` scale.
     :param caller: who asks, for fairness between callers.
     :param is_gone: whether whoever asked has hung up.
     :param key: idempotency key, made unique among callers and services.
@@ -108,7 +108,7 @@
     async def wait(self, until: timedelta | None = None) -> Answer | None:
         """The answer; ``None`` when it has not come by then.
 
-        :param until: on the clock's ``elapsed`` scale.
+        :param until: on the clock's ``monotonic`` scale.
         """
 
     async def is_lost(self) -> bool:
--- a/libs/calls/src/verbenamill_calls/exchange.py
+++ b/libs/calls/src/verbenamill_calls/exchange.py
@@ -52,7 +52,7 @@
 class Exchange:
     """One request over one connection.
 
-    :param deadline: on the clock's ``elapsed`` scale.
+    :param deadline: on the clock's ``monotonic`` scale.
     :param is_gone: whether whoever asked has hung up.
     """
 
